--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -13,8 +13,28 @@
 from statistics import fmean, median_high
 
 from rushladder.interface import (
-    Applied, Arrivals, Availability, Backlog, Channel, Event, Guarantee, Host, Joined, Learned, Left,
-    LevelUnit, Listing, ListKind, PeerWord, Probed, ProbeResult, Product, Remembered, Reminder, Retry, Tries,
+    Applied,
+    Arrivals,
+    Availability,
+    Backlog,
+    Channel,
+    Event,
+    Guarantee,
+    Host,
+    Joined,
+    Learned,
+    Left,
+    LevelUnit,
+    Listing,
+    ListKind,
+    PeerWord,
+    Probed,
+    ProbeResult,
+    Product,
+    Remembered,
+    Reminder,
+    Retry,
+    Tries,
 )
 from rushladder.lines import Lines
 from rushladder.records import SECOND, SPLIT_TEAMS, Gateway, Proxies, Server, Standing, Table, Teams, backlog
@@ -39,8 +59,10 @@
         self.beat = max(SECOND, channel.cap_span // max(1, (channel.message_cap or 999) - 3))
         self._short, self._capped = grace < self.beat + channel.longest_way, channel.message_cap > 0
         # Half the limit, and no more than lets a withdrawal behind it arrive within the grace (rules 5, 3).
-        self._most = travels + min(0.5 * channel.pending_max, self.pace * max(
-            0, self._bound - (0 if self._short or not self._capped else self.beat)))
+        self._most = travels + min(
+            0.5 * channel.pending_max,
+            self.pace * max(0, self._bound - (0 if self._short or not self._capped else self.beat)),
+        )
 
     def at_once(self) -> bool:
         """Whether a change of the list is told as it comes. Where the heads of messages to all proxies take a
@@ -48,8 +70,9 @@
         heads = self.lines.price(self.proxies.joined, 0)
         return self._short or not (self._capped or heads > 0.25 * SECOND * self.pace)
 
-    def has_room(self, gateways: Collection[Gateway], count: float = 1, part: float = 1.0,
-                 owed: float = 0.0) -> bool:
+    def has_room(
+        self, gateways: Collection[Gateway], count: float = 1, part: float = 1.0, owed: float = 0.0
+    ) -> bool:
         """Whether `count` lines to each may be sent behind what is `owed`. They drain as they are applied."""
         waiting = self.lines.waiting + self.lines.price(gateways, count) + owed
         return not self.lines.waiting or waiting <= min(part * self._most, self.pending_max)
@@ -148,8 +171,10 @@
             mute = server.bad_probes >= 2 and not (self.jammed or server.seen(now, 1 + demand.cycle())[2])
             # Rule 1: never the last one for a product of its zone.
             if (by_tries or mute) and all(
-                    any(product.open_to(s, server.zone) for s in self.in_service() if s is not server)
-                    for product in self._products if product.open_to(server, server.zone)):
+                any(product.open_to(s, server.zone) for s in self.in_service() if s is not server)
+                for product in self._products
+                if product.open_to(server, server.zone)
+            ):
                 self._turn(server, Sign.SICK)
                 continue
             # A tenth a period towards the table's latency over its own, as listed weights are rough. While
@@ -165,7 +190,8 @@
         # Bounded and weighed by whoever takes reports in; a wire that has none gives no hint.
         event.worker.hint = event.load.get("hint", 1.0)
         event.worker.tries.setdefault(event.zone, Ring(SECOND, 12, 5)).add(
-            self._host.now(), event.many, event.voided, settled, settled * event.mean, event.covers)
+            self._host.now(), event.many, event.voided, settled, settled * event.mean, event.covers
+        )
 
     def remembered(self, event: Remembered[Server]) -> None:
         """From before a restart: it counts as so many reports, so that what is heard outweighs it. Never
@@ -176,8 +202,11 @@
                 server.out_for, server.out_until = was.out_for, was.out_until
 
     def learned(self) -> list[Learned[Server]]:
-        return [Learned(s, s.pace, s.factor, s.heard, s.out_for, s.out_until)
-                for s in self.servers if s.heard or s.out_for]
+        return [
+            Learned(s, s.pace, s.factor, s.heard, s.out_for, s.out_until)
+            for s in self.servers
+            if s.heard or s.out_for
+        ]
 
     def probed(self, event: Probed[Server]) -> None:
         server, good = event.worker, event.result is ProbeResult.OK
@@ -234,8 +263,11 @@
             gateway.rated = now, self._turn if fresh else -1
             # By the time that the lines cover, not by the clock: they come late, merged, and out of step.
             sums = {} if fresh else {p: ring.total(now, 2 + cycle) for p, ring in gateway.came.items()}
-            gateway.rates = ({p: gateway.usual_rate * part for p, part in self.mix.items()} if fresh else
-                             {p: SECOND * many / max(1.0, covers) for p, (many, covers) in sums.items()})
+            gateway.rates = (
+                {p: gateway.usual_rate * part for p, part in self.mix.items()}
+                if fresh
+                else {p: SECOND * many / max(1.0, covers) for p, (many, covers) in sums.items()}
+            )
         return gateway.rates
 
     def left(self, gateway: Gateway) -> None:
@@ -246,8 +278,9 @@
         self._departed = [left for left in self._departed if left[0] >= self._host.now() - 5 * SECOND]
         own = [self.rates(gateway) for gateway in self._outbox.proxies.joined]
         for place, product in enumerate(self._products):
-            now = self.now[product] = (sum(rates[product] for rates in own)
-                                       + sum(rates[place] for _, rates in self._departed))
+            now = self.now[product] = sum(rates[product] for rates in own) + sum(
+                rates[place] for _, rates in self._departed
+            )
             before = self.smoothed[product] or now
             self.smoothed[product] = before + 0.3 * (now - before)
         if total := sum(self.smoothed.values()):
@@ -265,8 +298,10 @@
         return [rates for at, rates in self._told.values() if at > self._host.now() - 3 * SECOND]
 
     def own(self) -> dict[tuple[str, Product], float]:
-        own = {zone: [self.rates(gateway) for gateway in self._outbox.proxies.of_zone(zone)]
-               for zone, _ in self._keys}
+        own = {
+            zone: [self.rates(gateway) for gateway in self._outbox.proxies.of_zone(zone)]
+            for zone, _ in self._keys
+        }
         return {(zone, product): sum(rates[product] for rates in own[zone]) for zone, product in self._keys}
 
     def away(self) -> dict[tuple[str, Product], float]:
@@ -291,8 +326,10 @@
         """Overload as the design words it, but by the median server: a few sick ones are no lost capacity."""
         # All of a cycle for the sum; but the median of those heard last is as good, and fresher.
         now, serving = self._host.now(), self._fleet.in_service()
-        whole, seen = ([sums for server in serving if (sums := server.seen(now, buckets))[0] >= 3]
-                       for buckets in (1 + self._demand.cycle(), 2))
+        whole, seen = (
+            [sums for server in serving if (sums := server.seen(now, buckets))[0] >= 3]
+            for buckets in (1 + self._demand.cycle(), 2)
+        )
         self._settled = sum(sums[4] for sums in whole)
         # The design's scaling by own proxies: one that comes or goes takes its part of the budget along.
         before, self._usual = self._usual, sum(gateway.usual_rate for gateway in self._outbox.proxies.joined)
@@ -361,8 +398,18 @@
 class Tables:
     """What stands in the shared tables, and when changes go out."""
 
-    def __init__(self, host: Host, outbox: Outbox, fleet: Fleet, demand: Demand, levels: Levels,
-                 products: Sequence[Product], zones: Sequence[str], unit: LevelUnit, usual: Retry) -> None:
+    def __init__(
+        self,
+        host: Host,
+        outbox: Outbox,
+        fleet: Fleet,
+        demand: Demand,
+        levels: Levels,
+        products: Sequence[Product],
+        zones: Sequence[str],
+        unit: LevelUnit,
+        usual: Retry,
+    ) -> None:
         self._host, self._outbox, self._fleet, self._demand = host, outbox, fleet, demand
         self._levels, self._unit, self._zones = levels, unit, zones
         self._debt, self._paid = 0.0, 0
@@ -370,9 +417,13 @@
         self._unset = 0.0 if usual is not Retry.UNSENT else 1e6 if unit is LevelUnit.RATE else 1.0
         self._split, self._planned = dict[str, int](), 0
         eligible = [(product.models, product.zones, product.home_only) for product in products]
-        self._teams = Teams(outbox.proxies, [
-            [product for product, other in zip(products, eligible, strict=True) if other == kind]
-            for kind in dict.fromkeys(eligible)])
+        self._teams = Teams(
+            outbox.proxies,
+            [
+                [product for product, other in zip(products, eligible, strict=True) if other == kind]
+                for kind in dict.fromkeys(eligible)
+            ],
+        )
         self._tables = self._teams.tables
 
     def _count(self, zone: str) -> int:
@@ -423,8 +474,9 @@
         """A server that left costs each joiner two lines, or one and a head at each who is bound to take it
         out: bindings leave it out where that is less (rule 3)."""
         left = [server for server in table.lines if server.standing is Standing.LEFT]
-        less = (self._outbox.lines.price(table.gateways, len(left)) <= 2 * len(left) * joiners
-                and self._outbox.has_room(table.gateways, len(left)))
+        less = self._outbox.lines.price(table.gateways, len(left)) <= 2 * len(
+            left
+        ) * joiners and self._outbox.has_room(table.gateways, len(left))
         for server in left if less and len(left) < len(table.lines) else ():
             del table.lines[server]
             self._host.weigh(table.number, server, 0.0)
@@ -432,8 +484,10 @@
 
     def refresh(self, held: bool = True) -> None:
         """Plans, and sends what differs; held: also of tables that proxies hold, which takes messages."""
-        for key in [*((zone, team) for zone in self._zones for team in range(self._count(zone))),
-                    *self._outbox.proxies.unbound_by_team()]:
+        for key in [
+            *((zone, team) for zone in self._zones for team in range(self._count(zone))),
+            *self._outbox.proxies.unbound_by_team(),
+        ]:
             self._teams.add(*key)
         self._planned = self._host.now()
         if held:
@@ -448,8 +502,13 @@
         """One that left is kept for a minute, as it may come back under its name while proxies still shut it
         out, and as long as a table names it; for good, names would fill memory."""
         named = {server for table in self._teams.all_tables() for server in table.lines}
-        for server in [s for s in self._fleet.servers if s.standing is s.told is Standing.LEFT
-                       and s.left_at < self._host.now() - 60 * SECOND and s not in named]:
+        for server in [
+            s
+            for s in self._fleet.servers
+            if s.standing is s.told is Standing.LEFT
+            and s.left_at < self._host.now() - 60 * SECOND
+            and s not in named
+        ]:
             del self._fleet.servers[server]
 
     def let_back(self) -> None:
@@ -459,8 +518,13 @@
         for gateway in keeps if self._outbox.has_room((), 0, 0.7, self._outbox.owed) else ():
             latest = gateway.joined_at + 10 * SECOND  # what is listed later, no former manager knew
             named = dict.fromkeys(server for table in gateway.tables for server in table.lines)
-            servers = [server for server in named if server.told is Standing.SERVING
-                       and server.listed_at <= latest and server not in gateway.let_back]
+            servers = [
+                server
+                for server in named
+                if server.told is Standing.SERVING
+                and server.listed_at <= latest
+                and server not in gateway.let_back
+            ]
             part = 0.7 if lines.price([gateway]) <= 1 else 0.2
             if servers and self._outbox.has_room([gateway], len(servers), part, self._outbox.owed):
                 self._host.let_back(gateway, servers)
@@ -469,13 +533,19 @@
                 gateway.let_back = {server: None for server in gateway.let_back if server in named}
 
     def _holders(self, server: Server) -> Collection[Gateway]:
-        return dict.fromkeys(gateway for table in self._teams.all_tables() if server in table.lines
-                             for gateway in table.gateways)
+        return dict.fromkeys(
+            gateway
+            for table in self._teams.all_tables()
+            if server in table.lines
+            for gateway in table.gateways
+        )
 
     def _withdraw(self) -> None:
         outbox, servers = self._outbox, self._fleet.servers
-        left = sorted((s for s in servers if s.standing is Standing.LEFT and s.told is Standing.SERVING),
-                      key=lambda server: server.left_at)
+        left = sorted(
+            (s for s in servers if s.standing is Standing.LEFT and s.told is Standing.SERVING),
+            key=lambda server: server.left_at,
+        )
         outbox.owed, outbox.withdrawals = self._teams.bindings(outbox.lines, DOZEN), 0.0
         if left:
             self._withdraw_left(left)
@@ -521,24 +591,41 @@
         # Nothing spills to zones unheard of. A tenth over even use stays home: it is known no better. In a
         # jam only the warm get any: proxies avoid full servers, and would all turn to a cold one (rule 4).
         # Overload may tip into one within a beat.
-        room = {s: 1.1 * use * size * (0.7 if ramp(s) < 1 and self._levels.sheds() else 1.0)
-                for s, size in capacity.items() if s.zone in heard and ramp(s) >= self._fleet.jammed}
+        room = {
+            s: 1.1 * use * size * (0.7 if ramp(s) < 1 and self._levels.sheds() else 1.0)
+            for s, size in capacity.items()
+            if s.zone in heard and ramp(s) >= self._fleet.jammed
+        }
         teams = {zone: self._count(zone) for zone in self._zones}
         crews = {key: list[Gateway]() for key in self._tables}
         for gateway in self._outbox.proxies.joined:
             crews[gateway.zone, gateway.team].append(gateway)
-        may = {table: [s for s in capacity if table.products[0].open_to(s, table.zone)]
-               for table in self._teams.all_tables()
-               if table.team < SPLIT_TEAMS or crews[table.zone, table.team]}
+        may = {
+            table: [s for s in capacity if table.products[0].open_to(s, table.zone)]
+            for table in self._teams.all_tables()
+            if table.team < SPLIT_TEAMS or crews[table.zone, table.team]
+        }
         tables = sorted(may, key=lambda table: len(may[table]))  # those with the fewest servers choose first
         for table in tables:
             members, whole = crews[table.zone, table.team], table.team < SPLIT_TEAMS
             told = whole * sum(away[table.zone, product] for product in table.products) / teams[table.zone]
-            table.wanted, table.want = {}, max(1e-3, told + sum(
-                rates[product] for rates in map(self._demand.rates, members) for product in table.products))
+            table.wanted, table.want = (
+                {},
+                max(
+                    1e-3,
+                    told
+                    + sum(
+                        rates[product]
+                        for rates in map(self._demand.rates, members)
+                        for product in table.products
+                    ),
+                ),
+            )
         tiers: tuple[Callable[[Table, Server], bool], ...] = (
             lambda t, s: s.zone == t.zone and (s.place - t.index) % (t.split * teams[s.zone]) == 0,
-            lambda t, s: s.zone == t.zone, lambda t, s: s.zone != t.zone)
+            lambda t, s: s.zone == t.zone,
+            lambda t, s: s.zone != t.zone,
+        )
         for near in tiers:
             for table in tables:
                 # What spills goes to as few as have room for it, first those that have a line.
@@ -554,7 +641,7 @@
             total = sum(table.wanted.values())  # a line under a hundredth costs a connection for nothing
             table.wanted = {s: 100 * part / total for s, part in table.wanted.items() if part > 0.01 * total}
             if table.split > 1:  # short, by leaving out what carries least
-                most = sorted(table.wanted, key=lambda s: -table.wanted[s])[:30 // table.split]
+                most = sorted(table.wanted, key=lambda s: -table.wanted[s])[: 30 // table.split]
                 table.wanted = {s: part for s, part in table.wanted.items() if s in most}
             # In the scale of the lines that stay, so that these need no change where others come or go.
             stay = [(table.lines[s], part) for s, part in table.wanted.items() if s in table.lines]
@@ -590,12 +677,21 @@
                     table.gates.update(dict.fromkeys(products, figure))
             # Hysteresis of a tenth, of the line itself or of the even one. An empty plan changes nothing: the
             # last lines stay until there are others (rule 1).
-            moves = {server: table.wanted.get(server, 0.0) - table.lines.get(server, 0.0)
-                     for server in {**table.lines, **table.wanted} if table.wanted}
+            moves = {
+                server: table.wanted.get(server, 0.0) - table.lines.get(server, 0.0)
+                for server in {**table.lines, **table.wanted}
+                if table.wanted
+            }
             whole = sum(table.wanted.values())
-            some = sorted((server for server, move in moves.items() if (move < 0 and ramp(server) < 1)
-                           or abs(move) > 0.1 * max(table.lines.get(server, 0.0), whole / len(table.wanted))),
-                          key=lambda s: (s.told is not Standing.SERVING, ramp(s), -abs(moves[s])))
+            some = sorted(
+                (
+                    server
+                    for server, move in moves.items()
+                    if (move < 0 and ramp(server) < 1)
+                    or abs(move) > 0.1 * max(table.lines.get(server, 0.0), whole / len(table.wanted))
+                ),
+                key=lambda s: (s.told is not Standing.SERVING, ramp(s), -abs(moves[s])),
+            )
             # Where most of a table left, the rest gets all, which pushes a cold server over (rule 4).
             rest = {s: part for s, part in table.lines.items() if s.told is Standing.SERVING}
             cold = any(ramp(server) < 1 for server in (*some, *rest))
@@ -638,21 +734,48 @@
 
     BEAT, ASK, BIND = 1, 2, 3  # what a reminder is for
 
-    def __init__(self, host: Host, seed: int, *, managers: int, zones: Sequence[str], may_probe: bool,
-                 products: Sequence[Product], channel: Channel, guarantee: Guarantee, level_unit: LevelUnit,
-                 asks_list: bool, may_tell: bool, slices: int, usual: Retry = Retry.NEVER) -> None:
+    def __init__(
+        self,
+        host: Host,
+        seed: int,
+        *,
+        managers: int,
+        zones: Sequence[str],
+        may_probe: bool,
+        products: Sequence[Product],
+        channel: Channel,
+        guarantee: Guarantee,
+        level_unit: LevelUnit,
+        asks_list: bool,
+        may_tell: bool,
+        slices: int,
+        usual: Retry = Retry.NEVER,
+    ) -> None:
         self._host, self._draw, self._products = host, Random(seed).random, products
         self._may_tell, self._ask_within, self._failures = may_tell and managers > 1, guarantee.ask_within, 0
         self._outbox = Outbox(channel, guarantee.drain_grace)
         self._fleet = Fleet(host, products, guarantee, may_probe)
         self._demand = Demand(host, self._outbox, products, zones)
         self._levels = Levels(host, self._outbox, self._fleet, self._demand)
-        self._tables = Tables(host, self._outbox, self._fleet, self._demand, self._levels, products, zones,
-                              level_unit, usual)
-        self._handlers: dict[type, Callable[..., None]] = {} if slices else {
-            Listing: self._listing, Reminder: self._reminder, Probed: self._fleet.probed, Left: self._left,
-            PeerWord: self._demand.heard, Joined: self._joined, Applied: self._outbox.lines.applied,
-            Remembered: self._remembered, Arrivals: self._demand.arrivals, Tries: self._fleet.tries}
+        self._tables = Tables(
+            host, self._outbox, self._fleet, self._demand, self._levels, products, zones, level_unit, usual
+        )
+        self._handlers: dict[type, Callable[..., None]] = (
+            {}
+            if slices
+            else {
+                Listing: self._listing,
+                Reminder: self._reminder,
+                Probed: self._fleet.probed,
+                Left: self._left,
+                PeerWord: self._demand.heard,
+                Joined: self._joined,
+                Applied: self._outbox.lines.applied,
+                Remembered: self._remembered,
+                Arrivals: self._demand.arrivals,
+                Tries: self._fleet.tries,
+            }
+        )
         if not slices:  # tables of slices are not this module's yet: it stays silent
             # Managers started together beat apart, so that their orders do not land all at once.
             host.wake(1 + int(self._draw() * self._outbox.beat), self.BEAT)
