--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -60,7 +60,8 @@
 from rushladder.ring import Ring
 
 SERVERS_PER_TEAM = 12  # of a team that is not split
-# Signals drive a server's state (SERVER_TRANSITIONS) and the overload state (OVERLOAD_TRANSITIONS).
+# Signals drive a server's state (SERVER_TRANSITIONS) and the load state (LOAD_TRANSITIONS). LIMITED means
+# not overloaded, but with a level still below 1.
 ServerSignal = Enum("ServerSignal", "READY STARTED UNAVAILABLE FAILING RECOVERED ZONE_REACHABLE")
 LoadState = Enum("LoadState", "NORMAL SHEDDING")
 LoadSignal = Enum("LoadSignal", "OVERLOADED LIMITED UNLIMITED")
@@ -115,9 +116,9 @@
     def must_send_now(self, waited: int, lines: float) -> bool:
         """Whether something that may wait for up to the grace has to be sent now (rule 3).
 
-        It has to where the time waited, one more period, the time to drain the queue and `lines` more, and
-        the longest delay add up to the grace. `lines` are all priority lines together: each withdrawal or
-        binding alone would still find time to wait.
+        It is due once the time waited, one more period, the time to drain the queue and `lines` more, and the
+        longest delay add up to the grace. `lines` are all priority lines together: each withdrawal or binding
+        alone would still find time to wait.
         """
         return waited + self.period + self.lines.drain_time(lines) >= self._max_wait
 
@@ -224,9 +225,9 @@
         self.congested = voided >= 0.25 * count
         for server, (n, v, s, t, _) in totals.items():
             ratio = t / s / (time / settled) if s >= 5 and t else 1.0
-            # Failing: mostly voided tries, and quick ones, where the other servers have few. Slow tries mean
-            # an overloaded server, which only costs it weight. Slow is by the server's own standard, or one
-            # that is slow by nature would always count as overloaded.
+            # Failing: mostly voided tries, and quick ones, where the other servers have few. Slow voided
+            # tries mean an overloaded server, which only costs it weight. Slow is by the server's own
+            # standard, or one that is slow by nature would always count as overloaded.
             fails_tries = (
                 v >= 4 and v > 0.35 * n and voided - v < 0.1 * (count - n) and ratio * server.speed < 1.5
             )
@@ -234,7 +235,7 @@
             fails_probes = server.bad_probes >= 2 and not (
                 self.congested or server.recent_totals(now, 1 + demand.report_cycle())[2]
             )
-            # Rule 1: the last serving one for a product of its zone is never excluded.
+            # Rule 1: the last server for a product of its zone is never excluded.
             if (fails_tries or fails_probes) and all(
                 any(product.is_eligible(s, server.zone) for s in self.in_service() if s is not server)
                 for product in self._products
@@ -316,7 +317,7 @@
 
 
 class Demand:
-    """The rate of txns that come to this manager's proxies, and to its peers' by their messages."""
+    """The rates of txns that come to this manager's proxies, and to its peers' proxies by their messages."""
 
     def __init__(self, host: Host, outbox: Outbox, products: Sequence[Product], zones: Sequence[str]) -> None:
         self._host, self._outbox, self._products = host, outbox, products
@@ -426,9 +427,9 @@
         self._median = self._latency = self.calm_latency = self._limit = self._calm_txns = self._best = 0.0
 
     def update(self) -> None:
-        """Updates the demand and, by OVERLOAD_TRANSITIONS, the budget."""
+        """Updates the demand and, by LOAD_TRANSITIONS, the budget."""
         self._demand.update()
-        self._state, effect = OVERLOAD_TRANSITIONS[self._state, self._assess()]
+        self._state, effect = LOAD_TRANSITIONS[self._state, self._assess()]
         effect(self)
 
     def _assess(self) -> LoadSignal:
@@ -493,8 +494,8 @@
         self._set_budget(0.9 * self._settled_rate * min(1.0, self._limit / max(1e-9, self._latency)))
 
     def _relax(self) -> None:
-        # From the budget in force, because reports of what it admitted come late. By half a period up to the
-        # servers' best recent rate less the reserve, then by a twentieth, as the limit must be near.
+        # Grows from the budget in force, because reports of what it admitted come late: by half per period up
+        # to the servers' best recent rate less the reserve, then by a twentieth, as the limit must be near.
         growth = 1.5 if self._budget < 0.9 * self._best else 1.05
         self._set_budget(growth * max(self._budget, self._settled_rate))
 
@@ -513,7 +514,7 @@
 
 
 # (state, signal) -> (next state, effect)
-OVERLOAD_TRANSITIONS: dict[tuple[LoadState, LoadSignal], tuple[LoadState, Callable[[Levels], None]]] = {
+LOAD_TRANSITIONS: dict[tuple[LoadState, LoadSignal], tuple[LoadState, Callable[[Levels], None]]] = {
     (LoadState.NORMAL, LoadSignal.OVERLOADED): (LoadState.SHEDDING, Levels._shed),
     (LoadState.NORMAL, LoadSignal.UNLIMITED): (LoadState.NORMAL, Levels._remove_limits),
     (LoadState.SHEDDING, LoadSignal.OVERLOADED): (LoadState.SHEDDING, Levels._shed),
@@ -539,7 +540,8 @@
     ) -> None:
         self._host, self._outbox, self._fleet, self._demand = host, outbox, fleet, demand
         self._levels, self._unit, self._zones = levels, unit, zones
-        # Lines of small moves sent beyond their part of the channel's pace, and when that was reckoned.
+        # Lines of moves sent beyond half of the channel's pace, and when that was last updated. While there
+        # is debt, moves that are not urgent wait.
         self._move_debt, self._move_debt_at = 0.0, 0
         # The level of a table for which none was set. Setting it would cost each joiner lines (rule 3).
         self._default_level = (
@@ -571,7 +573,8 @@
         return self._team_counts[zone]
 
     def assign_team(self, gateway: Gateway) -> None:
-        """Chooses the team of a proxy that joins: the one with the lowest usual rate."""
+        """Chooses the team of a proxy that joins: the one with the lowest usual rate, in a reconnect storm
+        among split teams, whose tables are shorter."""
         zone, split = gateway.zone, self._outbox.split_count()
         teams: Sequence[int] = range(self._team_count(zone))
         if split > 1 and not (teams := self._teams.open_teams(zone, split)):
@@ -632,7 +635,7 @@
     def refresh(self, include_bound: bool = True) -> None:
         """Plans all tables and sends what differs.
 
-        include_bound: also withdrawals, and changes of tables that proxies use, which cost those messages.
+        include_bound: also withdrawals, and changes of tables that proxies use, which cost messages to them.
         """
         for key in [
             *((zone, team) for zone in self._zones for team in range(self._team_count(zone))),
@@ -705,7 +708,7 @@
         )
 
     def _publish_withdrawals(self) -> None:
-        """Publishes servers' changes of state: those that became unavailable first, longest since first."""
+        """Publishes changes of servers' states, first those of unavailable ones, the earliest first."""
         outbox, servers = self._outbox, self._fleet.servers
         unavailable = sorted(
             (
@@ -723,8 +726,8 @@
             self._withdraw_unavailable(unavailable)
             outbox.priority_lines += outbox.withdrawal_lines
         for server in [s for s in servers if s.state is not s.published_state and s not in unavailable]:
-            # The exclusion of a failing server waits for room; a release also for that of its weight's lines
-            # (rule 4).
+            # Excluding a failing server waits for room. Taking a server back also waits for the room of its
+            # weight's lines (rule 4).
             holders = self._holders(server)
             count = 3 if server.state is ServerState.SERVING else 1
             if outbox.has_room(holders, count, 0.6, outbox.priority_lines):
@@ -777,9 +780,9 @@
         known = sum(size for server, size in capacity.items() if server.zone in active_zones) or 1.0
         use = max(1e-3, sum(own.values()) + sum(peers.values())) / known
         # Nothing spills to zones without known demand. A tenth more than even use stays at home, since even
-        # use is known no better. Under congestion only warm servers get any: proxies avoid full servers, and
-        # would all turn to a cold one (rule 4). While shedding, cold servers get less, because overload may
-        # become congestion within a period.
+        # use is not known more precisely. Under congestion only warm servers get any: proxies avoid full
+        # servers, and would all turn to a cold one (rule 4). While shedding, cold servers get less, because
+        # overload may become congestion within a period.
         room = {
             s: 1.1 * use * size * (0.7 if ramp(s) < 1 and self._levels.is_shedding() else 1.0)
             for s, size in capacity.items()
@@ -909,8 +912,8 @@
                 ),
                 key=lambda s: (s.published_state is not ServerState.SERVING, ramp(s), -abs(moves[s])),
             )
-            # Where most of a table was withdrawn, the rest gets everything, which pushes a cold server over
-            # (rule 4).
+            # Urgent: where most of a table was withdrawn, the rest gets everything, which pushes a cold
+            # server over (rule 4).
             serving = {s: part for s, part in table.lines.items() if s.published_state is ServerState.SERVING}
             has_cold = any(ramp(server) < 1 for server in (*changed, *serving))
             urgent = 0.7 * (has_cold or total > 2 * sum(serving.values())) if serving else 1.0
@@ -927,8 +930,8 @@
                 # overload left it none.
                 is_new = 0.7 * (server.zone == table.zone and server not in table.lines)
                 # Room is kept for joins and for tables without a line (rules 1, 3), then for cold servers
-                # (rule 4). Moves that ride along with a message that goes out anyway, as one with levels,
-                # cost no second overhead.
+                # (rule 4). Moves that ride along with a message that goes out anyway, such as one with
+                # levels, cost no second overhead.
                 rides_along = 0.7 * (self._outbox.lines.cost(table.gateways) <= len(table.gateways))
                 fraction = max(urgent, is_new, rides_along) or 0.4
                 if (urgent or is_new or not self._move_debt) and has_room(table.gateways, 1, fraction, ahead):
--- a/rushladder/interface.py
+++ b/rushladder/interface.py
@@ -137,9 +137,9 @@
     drain_grace: int
     cold_time: int
     cold_from: float  # the part of its capacity that a worker has as it starts
-    overload_factor: float
-    overload_duration: int
-    list_retry_within: int
+    overload_factor: float  # a cold worker fails when it gets this multiple of its capacity
+    overload_duration: int  # over this time
+    list_retry_within: int  # within this time a failed call for the list is to be made again
     dropped_stay_open: bool
 
 
