--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -32,7 +32,7 @@
             True,
         )
 
-    def test_withdrawals_wait_for_a_fleet_that_joins_as_long_as_the_grace_lets_them(self) -> None:
+    def test_withdrawals_wait_for_joining_proxies_as_long_as_the_grace_allows(self) -> None:
         grace = replace(FakeHost().manager_args["guarantee"], drain_grace=100_000)
         # The limit has room for both: it is kept however urgent they are (rule 5).
         host = FakeHost(servers=40, gateways=180, pending=2400.0, guarantee=grace)
@@ -366,7 +366,7 @@
         self.assertFalse([server for server, withdrawn in host.orders_named("set_withdrawn") if withdrawn])
         self.assertNotIn(host.servers[7], host.table_weights(1))
 
-    def test_a_zone_withdrawn_as_cut_off_serves_again_once_a_proxy_of_it_joins(self) -> None:
+    def test_an_excluded_zone_serves_again_once_a_proxy_of_it_joins(self) -> None:
         host = FakeHost(servers=12)
         host.join(host.gateways[0], host.gateways[2])
         host.run(5)
@@ -382,8 +382,8 @@
 
 
 class LevelTests(unittest.TestCase):
-    def overloaded(self, **more: object) -> FakeHost:
-        host = FakeHost(**more)  # type: ignore[arg-type]
+    def overloaded(self, **overrides: object) -> FakeHost:
+        host = FakeHost(**overrides)  # type: ignore[arg-type]
         host.join()
         host.run(6)
         host.slowdown = dict.fromkeys(host.servers, 4.0)
@@ -569,7 +569,7 @@
             host.rate = 30 + 25 * (k % 2)
             host.run(1)
 
-    def test_a_server_that_a_release_brings_gets_its_line_while_levels_change(self) -> None:
+    def test_a_server_added_by_a_release_gets_its_line_while_levels_change(self) -> None:
         host = self.shedding(6)
         host.servers.append(Server("new", "a", "m", 0))
         host.send_listing(ListKind.CHANGES, host.servers[-1])
