--- a/rushladder/benchlink/hosting.py
+++ b/rushladder/benchlink/hosting.py
@@ -9,7 +9,12 @@
 
 from rushladder.benchlink.wire import ENTRY, ProtocolError, message, read_fields, read_message
 from rushladder.brain import Manager
-from rushladder.conf.birth import PER_TENTH, Unfit, birth, tenths
+from rushladder.conf.startup_settings import (
+    MICROS_PER_TENTH,
+    SettingsError,
+    manager_arguments,
+    micros_to_tenths,
+)
 from rushladder.core.workers import Workers
 from rushladder.interface import (
     Applied,
@@ -53,8 +58,8 @@
         self._gateways: dict[int, Gateway] = {}
         self._proxy_ids: dict[Proxy, int] = {}
         try:
-            arguments = birth(boot)
-        except Unfit as error:
+            arguments = manager_arguments(boot)
+        except SettingsError as error:
             raise ProtocolError(f"NewInstance: boot_info {error}") from None
         self._products: dict[str, Product] = {product.name: product for product in arguments["products"]}
         self._product_bits = {product: bit for bit, product in enumerate(arguments["products"])}
@@ -97,7 +102,7 @@
             raw["cluster"],
             _member(Availability, raw["availability"], "availability"),
             raw["size"],
-            tenths(raw["started_at"]),
+            micros_to_tenths(raw["started_at"]),
         )
 
     def _reminder(self, fields: dict[str, Any], _: Pages) -> Event:
@@ -111,7 +116,7 @@
             Probed(
                 server,
                 _member(ProbeResult, fields["disposition"], "disposition"),
-                tenths(fields["elapsed"]),
+                micros_to_tenths(fields["elapsed"]),
                 fields["report"],
             )
             if server
@@ -142,8 +147,8 @@
                 fields["dc"],
                 fields["many"],
                 fields["failed"],
-                tenths(fields["covers"]),
-                tenths(fields["elapsed"]),
+                micros_to_tenths(fields["covers"]),
+                micros_to_tenths(fields["elapsed"]),
                 fields["report"],
             )
             if server
@@ -153,14 +158,14 @@
     def _arrivals(self, fields: dict[str, Any], _: Pages) -> Event | None:
         gateway, product = self._gateways.get(fields["proxy"]), self._product(fields["band"])
         return (
-            Arrivals(gateway, product, fields["many"], fields["failed"], tenths(fields["covers"]))
+            Arrivals(gateway, product, fields["many"], fields["failed"], micros_to_tenths(fields["covers"]))
             if gateway
             else None
         )
 
     def _applied(self, fields: dict[str, Any], _: Pages) -> Event | None:
         gateway = self._gateways.get(fields["proxy"])
-        return Applied(gateway, fields["version"], tenths(fields["elapsed"])) if gateway else None
+        return Applied(gateway, fields["version"], micros_to_tenths(fields["elapsed"])) if gateway else None
 
     def _slice_assigned(self, fields: dict[str, Any], _: Pages) -> Event:
         return SliceAssigned(fields["map_id"], fields["yes"])
@@ -175,7 +180,7 @@
             self._product(fields["band"]),
             fields["many"],
             fields["failed"],
-            tenths(fields["covers"]),
+            micros_to_tenths(fields["covers"]),
         )
 
     # Orders: the module's `Host`.
@@ -231,7 +236,7 @@
         self._order("QueryAll")
 
     def wake(self, after: int, token: int) -> None:
-        self._order("Defer", wait=after * PER_TENTH, handle=token)
+        self._order("Defer", wait=after * MICROS_PER_TENTH, handle=token)
 
     def log(self, text: str) -> None:
         self._order("Emit", words=text)
@@ -292,9 +297,9 @@
         if name == "Mark":
             if self._round is not None:
                 raise ProtocolError("Mark inside a batch")
-            if fields["sim_time"] < 0 or tenths(fields["sim_time"]) < self._now:
+            if fields["sim_time"] < 0 or micros_to_tenths(fields["sim_time"]) < self._now:
                 raise ProtocolError("Mark: the clock ran backwards")
-            self._round, self._now = fields["round"], tenths(fields["sim_time"])
+            self._round, self._now = fields["round"], micros_to_tenths(fields["sim_time"])
         elif self._round is None:
             raise ProtocolError(f"{name} outside a batch")
         elif name == "End":
--- a/rushladder/dnsfront/front.py
+++ b/rushladder/dnsfront/front.py
@@ -12,8 +12,8 @@
 
 import attrs
 
-from rushladder.conf.objects import DnsSite
-from rushladder.core.host import LEVELS_MAP, Core, Port
+from rushladder.conf.objects import DnsConfig
+from rushladder.core.host import LEVELS_MAP, Core, GatewaySession
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.answers import Answers, Asked, Chosen, Regions, Target, label
 from rushladder.dnsfront.askers import FADES, Asker, Askers
@@ -23,7 +23,7 @@
 from rushladder.dnsfront.records import Answer, Question, Rcode
 from rushladder.dnsfront.split import Share, Split
 from rushladder.dnsfront.zone import Kind, Place, Zone
-from rushladder.gateways.difference import Admin, Held, applied
+from rushladder.gateways.diff import AdminState, GatewayContent, apply_commands
 from rushladder.interface import Arrivals, Availability, Event, Idempotency, Joined, Product
 from rushladder.records import Gateway
 from rushladder.timing import Clock, DelayedCall, clock_tenths
@@ -80,11 +80,11 @@
 
     def __init__(self, gateway: Gateway, core: Core, clock: Clock, changed: Callable[[Seat], None]) -> None:
         self.gateway, self._core, self._clock, self._changed = gateway, core, clock, changed
-        self.port: Port | None = None
+        self.port: GatewaySession | None = None
         self._later: DelayedCall | None = None
 
     def begin(self) -> Event:
-        self.port = self._core.joined(self.gateway, Held({}, {}), capped=False)
+        self.port = self._core.add_gateway(self.gateway, GatewayContent({}, {}), capped=False)
         return Joined(self.gateway, True)
 
     def kick(self) -> None:
@@ -96,10 +96,10 @@
         port, now = self.port, clock_tenths(self._clock)
         if port is None or port.due(now) is None:
             return
-        message = self._core.message(now, port)
-        applied(port.held.lines, message.commands)
+        message = self._core.next_message(now, port)
+        apply_commands(port.held.lines, message.commands)
         port.held.maps.update({name: dict(entries) for name, entries in message.maps.items()})
-        self._core.answered(now, port)
+        self._core.message_applied(now, port)
         self._changed(self)
 
 
@@ -108,7 +108,7 @@
 
     def __init__(
         self,
-        site: DnsSite,
+        site: DnsConfig,
         manager: str,
         region: str,
         regions: Sequence[str],
@@ -125,12 +125,17 @@
         self.lifetimes, self.limits = Lifetimes(grace, way, now, draw), Limiter()
         self.counts, self._serial, self._begun = dict.fromkeys(Fate, 0), int(wall()), now
         self.seats = [
-            Seat(Gateway(f"dns.{manager}.{name}", name, site.usual / len(regions)), core, clock, self._replan)
+            Seat(
+                Gateway(f"dns.{manager}.{name}", name, site.usual_rate / len(regions)),
+                core,
+                clock,
+                self._replan,
+            )
             for name in regions
         ]
         self.pools = {
             (product.name, seat.gateway.zone): Pool(
-                product, site.by_load, seat.gateway.usual_rate / len(core.products)
+                product, site.split_by_load, seat.gateway.usual_rate / len(core.products)
             )
             for seat in self.seats
             for product in core.products
@@ -204,7 +209,7 @@
                     backend != product.name
                     or known is None
                     or not line.weight
-                    or line.admin is not Admin.READY
+                    or line.admin is not AdminState.READY
                 ):
                     continue
                 if known.availability is not Availability.READY:
@@ -320,7 +325,7 @@
         if pool.product.idempotency is Idempotency.ONCE_ONLY:
             return 1
         part = volume / pool.askers.demand if pool.askers.demand else 0.0
-        return max(1, min(MOST_NAMED, max(self.site.named, round(part * len(pool.targets)))))
+        return max(1, min(MOST_NAMED, max(self.site.min_servers, round(part * len(pool.targets)))))
 
     def _tells(self, product: str, region: str) -> list[str]:
         pool = self.pools[product, region]
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -17,8 +17,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushladder.conf.grammar import Faulty
-from rushladder.conf.reader import read
+from rushladder.conf.grammar import InvalidConfig
+from rushladder.conf.reader import parse_config
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.askers import Askers
 from rushladder.dnsfront.front import Front
@@ -26,7 +26,7 @@
 from rushladder.dnsfront.limits import Kind, Limiter, Verdict, prefix
 from rushladder.dnsfront.records import Answer, Rcode, Record, Type
 from rushladder.dnsfront.split import TWICE, Share, Split
-from rushladder.structures.choice import Alias, Fenwick, Linear, Stride
+from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 from tests.test_paths import ctl
 from tests.fake_cluster import FakeCluster, FakeProber
 
@@ -40,7 +40,7 @@
     def test_a_tree_draws_what_a_walk_draws(
         self, some: dict[int, float], chance: float, changes: list[tuple[int, float]]
     ) -> None:
-        tree, plain = Fenwick(some), Linear(some)
+        tree, plain = FenwickTree(some), LinearChoice(some)
         for key, weight in changes:
             if key in some:
                 tree.set(key, weight)
@@ -51,7 +51,7 @@
 
     def test_an_alias_table_follows_its_weights(self) -> None:
         some, draw = {"a": 1.0, "b": 2.0, "c": 7.0}, Random(1).random
-        table, found = Alias(some), Counter[str]()
+        table, found = AliasTable(some), Counter[str]()
         for _ in range(20_000):
             found[table.draw(draw())] += 1
         for key, weight in some.items():
@@ -62,12 +62,12 @@
     def test_in_turn_each_gets_its_part_of_any_costs(
         self, some: dict[int, float], costs: list[float]
     ) -> None:
-        turns, got = Stride[int](), Counter[int]()
+        turns, got = StrideScheduler[int](), Counter[int]()
         for key, weight in some.items():
             turns.set(key, weight)
         for cost in costs:
-            key = turns.least(1, lambda _: True, 0)[0]
-            turns.take(key, cost)
+            key = turns.next_fitting(1, lambda _: True, 0)[0]
+            turns.charge(key, cost)
             got[key] += cost  # type: ignore[assignment]
         whole = sum(some.values())
         for key, weight in some.items():
@@ -435,7 +435,7 @@
 
     def test_an_answer_by_tcp_is_the_one_that_was_truncated(self) -> None:
         first = self.world.named("_ask._tcp.a.svc.example", kind="SRV")
-        self.world.managers["m0"].core.warden.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
+        self.world.managers["m0"].core.table_guard.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
         self.assertEqual(self.world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True), first)
 
     def test_a_server_told_to_drain_is_in_no_further_answer(self) -> None:
@@ -628,8 +628,8 @@
             ("ns ns1.svc.example=127.0.0.1", "ns ns1", "NAME=ADDRESS"),
             ("clients 10.2.0.0/16", "clients 10.2.0.1/16", "no network"),
         ):
-            with self.assertRaises(Faulty) as raised:
-                read(text.replace(old, new), "f")
+            with self.assertRaises(InvalidConfig) as raised:
+                parse_config(text.replace(old, new), "f")
             self.assertIn(what, str(raised.exception))
 
 
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -3,14 +3,14 @@
 import unittest
 from functools import cache
 
-from rushladder.runtime.endpoint import Level, Refused
-from rushladder.runtime.grammar import Command, fields, table
-from rushladder.service.api import verbs
+from rushladder.runtime.endpoint import Level, CommandRefused
+from rushladder.runtime.grammar import Command, parse_fields, parse_table
+from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
 from tests.fake_cluster import FakeCluster, FakeTransport
 
 
-commands = cache(verbs)  # one table of commands a manager, as its listeners share it
+commands = cache(command_table)  # one table of commands a manager, as its listeners share it
 
 
 def ctl(manager: Manager, text: str) -> str:
@@ -19,7 +19,7 @@
     assert verb is not None, text
     try:
         answer = verb.run(command, Level.ADMIN)
-    except Refused as refused:
+    except CommandRefused as refused:
         return f"refused: {refused}"
     assert isinstance(answer, str)
     return answer
@@ -127,7 +127,7 @@
             ctl(world.managers["m0"], "set server fleet/s1 state drain")
             ctl(world.managers["m0"], "add server fleet/s8 127.0.0.1:7008 region a started 1m")
             world.run(9, rate=20)
-            rows = table(ctl(world.managers["m0"], "show table g0"))
+            rows = parse_table(ctl(world.managers["m0"], "show table g0"))
             self.assertTrue(rows)
             for row in rows:
                 line = world.gateways["g0"].backends[row["pxname"]].get(row["svname"])
@@ -213,7 +213,7 @@
         world.start_manager("m1")
         world.run(20, rate=20)
         self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m1"))
-        self.assertEqual(len(world.managers["m0"].core.ports), 1)
+        self.assertEqual(len(world.managers["m0"].core.sessions), 1)
 
     def test_a_stale_managers_late_write_is_undone(self) -> None:
         world = FakeCluster(managers=2)
@@ -234,7 +234,7 @@
         wire.other.muted = True  # it still hears and acts, but nothing of it is heard
         world.down.add("g1")
         world.run(4, rate=20)
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.ports.values()], ["g0"])
+        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
         self.assertIn("no answer within", ctl(world.managers["m0"], "show errors"))
 
 
@@ -254,9 +254,9 @@
         wire.abortConnection()
         world.run(6, rate=20)
         world.on_connect = lambda name, near: None
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.ports.values()], ["g0"])
+        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
         world.run(10, rate=20)
-        self.assertEqual(len(world.managers["m0"].core.ports), 2)
+        self.assertEqual(len(world.managers["m0"].core.sessions), 2)
         return world
 
     def test_garbage_costs_the_connection_and_nothing_else(self) -> None:
@@ -303,7 +303,9 @@
                 f"set server fleet/s{turn % 2} state {('drain', 'ready')[turn // 2 % 2]}",
             )
             world.run(0.5, rate=20)
-            self.assertLessEqual(max(driver.waiting() for driver in world.managers["m0"].drivers), 70)
+            self.assertLessEqual(
+                max(driver.unanswered_commands() for driver in world.managers["m0"].drivers), 70
+            )
         world.run(8, rate=20)
         for name in world.sites:
             usable = world.usable_weights(name, "pay")
@@ -399,9 +401,9 @@
     def test_the_modules_own_bad_order_is_a_fault_and_the_last_good_table_stays(self) -> None:
         world = self.world()
         manager, before = world.managers["m0"], world.usable_weights("g0", "pay")
-        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.ports)
+        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.sessions)
         manager.core.set_weight(number, next(iter(table_.lines)), float("inf"))
-        manager.give()
+        manager.handle_events()
         world.run(1.5, rate=20)
         self.assertIn("own order for table", ctl(manager, "show errors"))
         self.assertEqual(set(world.usable_weights("g0", "pay")), set(before))
@@ -428,14 +430,14 @@
         world = FakeCluster()
         world.run(8, rate=20)
         manager = world.managers["m0"]
-        facts = fields(ctl(manager, "show info"))
+        facts = parse_fields(ctl(manager, "show info"))
         self.assertEqual(
             (facts["GatewaysHeld"], facts["Servers"], facts["CommandsUnanswered"]), ("2", "4", "0")
         )
-        rows = {(row["pxname"], row["svname"]): row for row in table(ctl(manager, "show stat"))}
+        rows = {(row["pxname"], row["svname"]): row for row in parse_table(ctl(manager, "show stat"))}
         self.assertEqual(rows["fleet", "s0"]["status"], "UP")
         self.assertAlmostEqual(float(rows["pay", "BACKEND"]["req_rate"]), 40, delta=8)
-        self.assertEqual(len(table(ctl(manager, "show servers state"), None)), 4)
+        self.assertEqual(len(parse_table(ctl(manager, "show servers state"), None)), 4)
         self.assertIn("g0/ask 1000", ctl(manager, "show map levels"))
         self.assertIn("g1: region=b stand=holding", ctl(manager, "show sess"))
         self.assertEqual(ctl(manager, "show backend").split()[2:], ["fleet", "ask", "pay"])
