--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -29,7 +29,7 @@
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
 from rushladder.structures.choice import Linear
-from rushladder.timing import tenths
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 GATEWAYS, SERVERS, ASKERS = 161, 99, 200
@@ -138,7 +138,7 @@
         """A plan's change, timed by itself: one server goes or comes, and both seats are planned anew."""
         for turn in range(40):
             state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
-            manager.roster.change("c5", tenths(reactor), availability=state)
+            manager.roster.change("c5", clock_tenths(reactor), availability=state)
             began = time.process_time_ns()
             front.listing()
             replans.append((time.process_time_ns() - began) / 1e6)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,7 +27,7 @@
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
 from rushladder.standins.gateway import GatewayState
-from rushladder.timing import tenths
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 PRODUCTS = ("balance", "mandate", "collect")
@@ -142,7 +142,7 @@
 
             def churn(turn: int) -> None:
                 manager.core.applied_in.clear()
-                now = tenths(reactor)
+                now = clock_tenths(reactor)
                 for k in range(0, servers, 5):
                     state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
                     manager.listing(manager.roster.change(f"c{k}", now, availability=state))
@@ -168,7 +168,7 @@
             close, message, told = manager.reports.close, manager.core.message, [0]
 
             def closed(hints: Any = None) -> list[Any]:
-                told[0] = tenths(reactor)
+                told[0] = clock_tenths(reactor)
                 return close(hints)
 
             def sent(now: int, port: Any) -> Message:
--- a/rushladder/conf/birth.py
+++ b/rushladder/conf/birth.py
@@ -10,10 +10,14 @@
 from math import inf
 from typing import Any
 
-from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat, Retry
+from rushladder.interface import Channel, Guarantee, Idempotency, LevelUnit, Product, Retry
 
 PER_TENTH = 100  # microseconds for each tenth of a millisecond inside
-REPEATS = {"retryable": Repeat.INQUIRY_LIKE, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
+REPEATS = {
+    "retryable": Idempotency.INQUIRY_LIKE,
+    "dedup": Idempotency.REFERENCED,
+    "fragile": Idempotency.ONCE_ONLY,
+}
 UNITS = {"ratio": LevelUnit.RATIO, "rps": LevelUnit.RATE, "silent": LevelUnit.IGNORED}
 
 
@@ -44,20 +48,20 @@
         "channel": Channel(
             lines_per_s=_above_0(fam, "egress_per_s"),
             pending_max=float(fam["pending_max"]),
-            head=float(fam["head"]),
+            message_overhead=float(fam["head"]),
             message_cap=int(fam.get("update_cap", 0)),
-            cap_span=tenths(fam.get("counted_over", 0)),
-            usual_way=tenths(fam["propagation"]),
-            longest_way=tenths(fam["push_delay_max"]),
+            cap_window=tenths(fam.get("counted_over", 0)),
+            usual_delay=tenths(fam["propagation"]),
+            max_delay=tenths(fam["push_delay_max"]),
         ),
         "guarantee": Guarantee(
-            bare=tenths(fam["bare"]),
+            no_worker_limit=tenths(fam["bare"]),
             drain_grace=tenths(rules["drain_grace"]),
             cold_time=tenths(rules["cold"]),
             cold_from=float(rules["cold_from"]),
-            fall_multiple=float(rules["overload_factor"]),
-            fall_for=tenths(rules["overload_for"]),
-            ask_within=tenths(rules.get("ask_within", 0)),
+            overload_factor=float(rules["overload_factor"]),
+            overload_duration=tenths(rules["overload_for"]),
+            list_retry_within=tenths(rules.get("ask_within", 0)),
             dropped_stay_open=bool(rules.get("dropped_stay_open", False)),
         ),
         "level_unit": UNITS[fam["throttle_by"]],
@@ -85,11 +89,11 @@
             name=str(lane["name"]),
             sla_time=tenths(lane["target"]),
             expiry=tenths(lane["deadline"]),
-            rev=float(lane["points"]),
-            late_part=float(lane.get("late_worth", 0.0)),
-            repeat=REPEATS[lane["idempotency"]],
-            group=str(lane.get("group", "all")),
-            window=tenths(lane.get("repeat_window", 0)),
+            revenue=float(lane["points"]),
+            late_revenue_fraction=float(lane.get("late_worth", 0.0)),
+            idempotency=REPEATS[lane["idempotency"]],
+            dedup_group=str(lane.get("group", "all")),
+            dedup_window=tenths(lane.get("repeat_window", 0)),
             writes=bool(writers[place]),
             home_only=bool(bound[place]),
             models=frozenset(lane.get("only_kinds") or ()),
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -41,10 +41,10 @@
     PeerSite,
     Plan,
 )
-from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat
+from rushladder.interface import Channel, Guarantee, Idempotency, LevelUnit, Product
 from rushladder.runtime.endpoint import Level
 
-REPEATS = {kind.value: kind for kind in Repeat}
+REPEATS = {kind.value: kind for kind in Idempotency}
 UNITS = {"ratio": LevelUnit.RATIO, "rate": LevelUnit.RATE, "off": LevelUnit.IGNORED}
 LEVELS = {"user": Level.USER, "operator": Level.OPERATOR, "admin": Level.ADMIN}
 SWITCH = {"on": True, "off": False}
@@ -436,11 +436,11 @@
                 name=s.name,
                 sla_time=s.one("sla"),
                 expiry=s.one("expiry"),
-                rev=s.one("revenue"),
-                late_part=s.one("late", 0.0),
-                repeat=s.one("repeat"),
-                group=s.option("repeat", "group", "all"),
-                window=s.option("repeat", "window", 0),
+                revenue=s.one("revenue"),
+                late_revenue_fraction=s.one("late", 0.0),
+                idempotency=s.one("repeat"),
+                dedup_group=s.option("repeat", "group", "all"),
+                dedup_window=s.option("repeat", "window", 0),
                 writes=bool(s.one("writes")),
                 home_only=bool(s.one("home-only")),
                 models=frozenset(s.values.get("models", ())),
@@ -451,20 +451,20 @@
         channel=Channel(
             lines_per_s=manager.one("channel-lines", 1500.0),
             pending_max=manager.one("channel-waiting", 2500),
-            head=manager.one("channel-head", 3.0),
+            message_overhead=manager.one("channel-head", 3.0),
             message_cap=manager.one("messages", 0),
-            cap_span=manager.option("messages", "per", 100_000) if manager.one("messages") else 0,
-            usual_way=manager.one("channel-way", 500),
-            longest_way=manager.option("channel-way", "longest", 5000),
+            cap_window=manager.option("messages", "per", 100_000) if manager.one("messages") else 0,
+            usual_delay=manager.one("channel-way", 500),
+            max_delay=manager.option("channel-way", "longest", 5000),
         ),
         guarantee=Guarantee(
-            bare=manager.one("bare", 80_000),
+            no_worker_limit=manager.one("bare", 80_000),
             drain_grace=manager.one("grace", 40_000),
             cold_time=manager.one("cold", 150_000),
             cold_from=manager.option("cold", "from", 0.17),
-            fall_multiple=manager.one("fall", 2.5),
-            fall_for=manager.option("fall", "for", 20_000),
-            ask_within=0,
+            overload_factor=manager.one("fall", 2.5),
+            overload_duration=manager.option("fall", "for", 20_000),
+            list_retry_within=0,
             dropped_stay_open=False,
         ),
         level_unit=manager.one("levels", LevelUnit.RATIO),
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -180,12 +180,12 @@
         """One batch of events; whatever reminders are due by `now` come first."""
         self._now = max(now, self._now)
         for reminder in self._reminders.due(self._now):
-            self.manager.take(reminder)
+            self.manager.handle(reminder)
         for event in events:
-            self.manager.take(event)
+            self.manager.handle(event)
             if isinstance(event, Listing):
                 self._listing(event)
-        self.manager.close()
+        self.manager.end_batch()
         self._judge()
         self._ready |= self._touched
         self._touched.clear()
@@ -202,7 +202,7 @@
         """A gateway that this manager holds from now on; the caller gives the module its Joined with
         `take`. capped: messages to it count, as they cross a socket."""
         self.left(gateway)
-        port = Port(gateway, held, Pace(self._channel.message_cap if capped else 0, self._channel.cap_span))
+        port = Port(gateway, held, Pace(self._channel.message_cap if capped else 0, self._channel.cap_window))
         self.ports[gateway] = port
         return port
 
@@ -256,7 +256,7 @@
         sums = dict[tuple[Tbl, Product], float]()
         for port in self.ports.values():
             for product, table in port.tables.items():
-                many, covers = port.gateway.came[product].total(self._now, 4)
+                many, covers = port.gateway.arrivals[product].total(self._now, 4)
                 rate = 10_000 * many / covers if covers else port.gateway.usual_rate / len(self.products)
                 level = (
                     table.gates.get(product, (1.0, Retry.UNSENT))[0] if self._unit is LevelUnit.RATIO else 1.0
@@ -418,14 +418,14 @@
     def now(self) -> int:
         return self._now
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
         table.weigh(worker, weight)
         self._changed[table] = None
         self._owe(table)
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         table = self._table(tbl)
         for server in list(table.lines):
             table.weigh(server, 0.0)
@@ -449,7 +449,7 @@
         self._changed[table] = None
         port.gates_owed = True
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
         if out:
             self.withdrawn[worker] = None
@@ -465,10 +465,10 @@
                     self._touched[port] = None
                     port.owe(product, urgent=True)
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """What a gateway holds is read back, and differs until it is as wanted."""
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for table in self._tables.values() if tbl is None else (self._table(tbl),):
             for product in products or self.products:
                 zone = next(iter(table.ports)).gateway.zone if table.ports else ""
@@ -487,14 +487,14 @@
         assert isinstance(worker, Server)
         self.probes.append(worker)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self.words.append(data)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """The list comes by itself here: every change is told at once."""
 
-    def ask_list(self) -> None:
-        """As for `watch`."""
+    def request_list(self) -> None:
+        """As for `watch_list`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -25,7 +25,7 @@
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient, Silent
 from rushladder.runtime.grammar import Command, fields
-from rushladder.timing import TENTHS, Call, Clock, tenths
+from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
 HOLDER, WROTE = "proc.rushladder_holder", "proc.rushladder_wrote"
 GOOD_ANSWERS = ("", "New server registered.\n", "Server deleted.\n")
@@ -100,8 +100,8 @@
         self.port: Port | None = None
         self._wait, self._again, self._numbers = FIRST_WAIT, 0.0, 0
         self._sending, self._swept = False, clock.seconds()
-        self._later: Call | None = None
-        self._poll: Call | None = None
+        self._later: DelayedCall | None = None
+        self._poll: DelayedCall | None = None
         self._stopped = False
         self.last_wrote = ""
 
@@ -188,12 +188,12 @@
             self._poll = self._clock.callLater(self._times.poll, lambda: self._run(self._read(client)))
 
     async def _read(self, client: RuntimeClient) -> None:
-        asked = tenths(self._clock)
+        asked = clock_tenths(self._clock)
         questions = [words(f"get var {HOLDER}"), words(f"get var {WROTE}")]
         if self.holding.stand is Stand.HOLDING:
             questions += [words("show info"), words("show stat -1 6 -1")]
         answers = await client.ask(*questions)
-        now = tenths(self._clock)
+        now = clock_tenths(self._clock)
         effect = self.holding.read(read_word(read_var(answers[0])), asked, now)
         await self._carry_out(client, effect)
         if self.port is not None and self.holding.stand is Stand.HOLDING:
@@ -215,7 +215,7 @@
             return
         self._swept = self._clock.seconds()
         commands = self._core.sweep(port)[:A_LINE]
-        if commands and self.holding.may_send(tenths(self._clock)):
+        if commands and self.holding.may_send(clock_tenths(self._clock)):
             answers = await client.ask(*commands)
             done = [
                 command for command, answer in zip(commands, answers, strict=True) if answer in GOOD_ANSWERS
@@ -261,7 +261,9 @@
         up = facts.get("Uptime_sec", "")
         if not up.isdigit():
             raise Unexpected(f"no uptime in: {info[:80]!r}")
-        found, span = self._meter.poll(stat, Birth(facts.get("Pid", ""), asked - int(up) * TENTHS), asked)
+        found, span = self._meter.poll(
+            stat, Birth(facts.get("Pid", ""), asked - int(up) * TENTHS_PER_SECOND), asked
+        )
         tries, came = dict[Server, Met](), dict[Product, Met]()
         for (backend, name), met in found.items():
             listed = self._core.roster.listed.get(name)
@@ -312,16 +314,16 @@
 
     def kick(self) -> None:
         """Something may be owed: sends it now, or when the message cap allows."""
-        port, now = self.port, tenths(self._clock)
+        port, now = self.port, clock_tenths(self._clock)
         if port is None or self._sending or self._client is None or not self._client.open:
             return
         due = port.due(now)
         if due is None:
             return
-        due = max(due, int(self._again * TENTHS))
+        due = max(due, int(self._again * TENTHS_PER_SECOND))
         if due > now or not self.holding.may_send(now):
             if self._later is None or not self._later.active():
-                wait = max(due - now, 1) / TENTHS if due > now else self._times.poll / 4
+                wait = max(due - now, 1) / TENTHS_PER_SECOND if due > now else self._times.poll / 4
                 self._later = self._clock.callLater(wait, self.kick)
             return
         self._sending = True
@@ -346,7 +348,7 @@
             await self._read_back(client)
             return
         self._wait = FIRST_WAIT
-        self._core.answered(tenths(self._clock), port)
+        self._core.answered(clock_tenths(self._clock), port)
         self._give()
         self.kick()  # what was ordered meanwhile
 
--- a/rushladder/guard/admission.py
+++ b/rushladder/guard/admission.py
@@ -16,7 +16,7 @@
 import attrs
 
 from rushladder.guard.book import Book, Pool, Server, open_to
-from rushladder.interface import Repeat, Retry
+from rushladder.interface import Idempotency, Retry
 
 HUGE = 1e9  # of a weight: far above any sum of listed sizes
 FRESH = 100_000  # 10 s: three polls and a cycle of reports; a demand heard before that tells little of now
@@ -289,7 +289,7 @@
         if not isinstance(part, Gate) or part.retry <= Retry.UNSENT:
             return None
         product = self.book.pools[part.pool].product
-        if product.repeat is Repeat.ONCE_ONLY:
+        if product.idempotency is Idempotency.ONCE_ONLY:
             return (
                 Reason.FURTHER_TRY,
                 f"{product.name} must never run twice",
--- a/rushladder/intake/lane.py
+++ b/rushladder/intake/lane.py
@@ -24,7 +24,7 @@
 from rushladder.intake.gather import KEPT, Gathering
 from rushladder.intake.lane_pb2 import Batch, Sender, Turn
 from rushladder.runtime.endpoint import DONE
-from rushladder.timing import Call, Clock, tenths
+from rushladder.timing import Clock, DelayedCall, clock_tenths
 
 reactor: Any = _reactor
 GATHER = 0.05  # s in which datagrams gather: what a reading is older for it, a hundredth of its life
@@ -107,7 +107,7 @@
         self.sendString(turn.SerializeToString())  # type: ignore[no-untyped-call]
 
     def stringReceived(self, string: bytes) -> None:
-        deal(self._desk, Batch.FromString(string), tenths(self._clock))
+        deal(self._desk, Batch.FromString(string), clock_tenths(self._clock))
         self.turn()
 
 
@@ -118,7 +118,7 @@
         self._desk, self._door, self._fault = desk, door, on_fault
         self._wait, self._since, self._stopped = FIRST_WAIT, 0.0, False
         self._handing: Handing | None = None
-        self._again: Call | None = None
+        self._again: DelayedCall | None = None
         self.pid = self.starts = 0
 
     def start(self) -> None:
--- a/rushladder/intake/ports.py
+++ b/rushladder/intake/ports.py
@@ -14,7 +14,7 @@
 from rushladder.intake.agent import Agent, Unclear, read_agent
 from rushladder.intake.desk import LONGEST, Desk, Fate
 from rushladder.runtime.endpoint import DONE
-from rushladder.timing import Clock, tenths
+from rushladder.timing import Clock, clock_tenths
 
 PAUSE = 0.2  # s that a stream over its budget is not read: TCP then slows its sender down
 
@@ -31,7 +31,7 @@
         return self.transport
 
     def stringReceived(self, string: bytes) -> None:
-        fate = self._desk.report(self._transport().getPeer().host, string, tenths(self._clock))
+        fate = self._desk.report(self._transport().getPeer().host, string, clock_tenths(self._clock))
         if fate in (Fate.OVER_OWN, Fate.OVER_ALL):
             self.pauseProducing()  # type: ignore[no-untyped-call]
             self._clock.callLater(PAUSE, self._again)
--- a/rushladder/runtime/endpoint.py
+++ b/rushladder/runtime/endpoint.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from rushladder.runtime.grammar import AnswerParser, AnswerTooLong, Command, CommandParser, Overlong, write
-from rushladder.timing import Call, Clock
+from rushladder.timing import Clock, DelayedCall
 
 IDLE_MOST = (
     300.0  # s without a command before an interactive connection is closed: ten of an operator's pauses
@@ -80,7 +80,7 @@
         self._verbs, self._level, self._clock, self._on_fault = verbs, level, clock, on_fault
         self._parser, self._todo = CommandParser(), deque[Command | Overlong]()
         self._interactive = self._prompts = self._busy = self._paused = self._closing = False
-        self._limit: Call | None = None
+        self._limit: DelayedCall | None = None
 
     def connectionMade(self) -> None:
         self._transport().registerProducer(self, True)
@@ -246,7 +246,7 @@
     ) -> None:
         self._clock, self._patience, self._on_lost = clock, patience, on_lost
         self._parser, self._asked = AnswerParser(), deque[tuple[int, list[str], Deferred[list[str]]]]()
-        self._limit: Call | None = None
+        self._limit: DelayedCall | None = None
         self.open, self._why = False, "closed by the other side"
         self.greeting: Deferred[list[str]] | None = None
 
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -22,7 +22,7 @@
 from rushladder.service.manager import Manager
 from rushladder.store.commands import LONGEST, LONGEST_ID, SURE_MOST, Effect, repeatable
 from rushladder.store.memory import Kind
-from rushladder.timing import TENTHS, tenths
+from rushladder.timing import TENTHS_PER_SECOND, clock_tenths
 
 PREPARED_MOST, LINES_MOST = 16, 20_000  # versions begun and not committed; 20 products x 1,000 servers
 SHOWN = 20  # resolvers of a pool that are shown: those who bring most
@@ -287,13 +287,13 @@
         return "".join(f"{key}: {value}\n" for key, value in facts.items())
 
     def stat(self, words: tuple[str, ...]) -> str:
-        now, rows = tenths(self._manager.clock), list[dict[str, object]]()
+        now, rows = clock_tenths(self._manager.clock), list[dict[str, object]]()
         for product in self._core.products:
             sums = [
                 sum(values)
                 for values in zip(
                     (0.0, 0.0),
-                    *(gateway.came[product].total(now, 5) for gateway in self._core.ports),
+                    *(gateway.arrivals[product].total(now, 5) for gateway in self._core.ports),
                     strict=True,
                 )
             ]
@@ -308,7 +308,7 @@
                     "svname": "BACKEND",
                     "status": "UP",
                     "stot": int(sums[0]),
-                    "req_rate": round(TENTHS * sums[0] * len(self._core.ports) / sums[1], 1)
+                    "req_rate": round(TENTHS_PER_SECOND * sums[0] * len(self._core.ports) / sums[1], 1)
                     if sums[1]
                     else 0,
                     "level_permille": min(levels, default=1000),
@@ -323,7 +323,7 @@
             for server in carries:
                 used[server] = used.get(server, 0) + 1
         for one in self._roster.listed.values():
-            many, voided, _, _, rate = one.server.seen(now, 5)
+            many, voided, _, _, rate = one.server.recent_totals(now, 5)
             rows.append(
                 {
                     "pxname": FLEET,
@@ -346,7 +346,7 @@
     def servers(self, words: tuple[str, ...]) -> str:
         if len(words) > 3 and words[3] != FLEET:
             raise Refused("Can't find backend.")
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         text = (
             "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight "
             "srv_time_since_last_change srv_port region model\n"
@@ -354,7 +354,7 @@
         bits = {Availability.READY: 0, Availability.DRAINING: 8, Availability.GONE: 1}
         for place, one in enumerate(self._roster.listed.values(), 1):
             host, port = one.address.rsplit(":", 1)
-            age = (now - one.started_at) // TENTHS if one.started_at else -1
+            age = (now - one.started_at) // TENTHS_PER_SECOND if one.started_at else -1
             text += (
                 f"1 {FLEET} {place} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
                 f"{bits[one.availability]} {one.size:g} {age} {port} {one.server.zone} {one.server.model}\n"
@@ -377,7 +377,7 @@
         return text
 
     def sess(self, words: tuple[str, ...]) -> str:
-        now, text = tenths(self._manager.clock), ""
+        now, text = clock_tenths(self._manager.clock), ""
         for driver in self._manager.drivers:
             port, hold = driver.port, driver.holding
             text += (
@@ -434,7 +434,7 @@
     def _stands(self, change: Callable[[int], Version]) -> str:
         warden = self._core.warden
         try:
-            version = change(tenths(self._manager.clock))
+            version = change(clock_tenths(self._manager.clock))
         except Denied as denied:
             raise Refused(f"Refused: {denied}.") from None
         self._core.owe_all()
@@ -482,10 +482,10 @@
 
     @staticmethod
     def _age(at: int, now: int) -> int:
-        return (now - at) // TENTHS if at else -1
+        return (now - at) // TENTHS_PER_SECOND if at else -1
 
     def history(self, words: tuple[str, ...]) -> str:
-        now, history = tenths(self._manager.clock), self._core.warden.history
+        now, history = clock_tenths(self._manager.clock), self._core.warden.history
         return "# version parent age_s who lines state why\n" + "".join(
             f"{one.number} {one.parent} {self._age(one.at, now)} {one.who} {len(one.factors)} "
             f"{'current' if one.number == history.current else one.state.replace(' ', '_')} {one.why}\n"
@@ -502,9 +502,9 @@
         )
 
     def refused(self, words: tuple[str, ...]) -> str:
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         return "".join(
-            f"[{(now - one.at) // TENTHS}s ago] {one.who}: {one.what}\n"
+            f"[{(now - one.at) // TENTHS_PER_SECOND}s ago] {one.who}: {one.what}\n"
             for one in self._core.warden.history.refused
         )
 
@@ -520,14 +520,14 @@
     # Load reports.
 
     def load(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, tenths(self._manager.clock)
+        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
         if len(words) > 2 and words[2] not in desk.senders:
             raise Refused("No such server that reports.")
         rows = [
             [
                 name,
                 f"{one.reading.value():.3f}",
-                f"{(now - one.reading.heard) / TENTHS:.1f}",
+                f"{(now - one.reading.heard) / TENTHS_PER_SECOND:.1f}",
                 f"{one.reading.say(now):.2f}",
                 f"{desk.hints.worth(name):.2f}",
                 f"{desk.given.get(name, 1.0):.3f}",
@@ -541,7 +541,7 @@
         return csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, tenths(self._manager.clock)
+        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
         loads, ages = desk.spread(now)
         text = "".join(f"{fate.name}: {many}\n" for fate, many in desk.counts.items())
         text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
@@ -606,7 +606,7 @@
         return text + csv(("pxname", "region", "svname", "weight", "cold", "allowed_s", "standing_s"), rows)
 
     def resolvers(self, words: tuple[str, ...]) -> str:
-        front, now = self._manager.dns, tenths(self._manager.clock)
+        front, now = self._manager.dns, clock_tenths(self._manager.clock)
         if front is None:
             raise Refused("No zone is configured.")
         rows = [
@@ -616,9 +616,9 @@
                 asker.source,
                 asker.asked,
                 f"{pool.askers.volume(asker):.2f}",
-                f"{TENTHS / asker.wait if asker.wait else 0:.2f}",
+                f"{TENTHS_PER_SECOND / asker.wait if asker.wait else 0:.2f}",
                 int(asker.known()),
-                f"{(now - asker.last) / TENTHS:.1f}",
+                f"{(now - asker.last) / TENTHS_PER_SECOND:.1f}",
                 " ".join(asker.servers),
             ]
             for (product, region), pool in front.pools.items()
@@ -639,7 +639,7 @@
         return name(server)
 
     def set_server(self, words: tuple[str, ...]) -> str:
-        server, now = self._name(words[2]), tenths(self._manager.clock)
+        server, now = self._name(words[2]), clock_tenths(self._manager.clock)
         if words[3] == "state":
             if words[4] not in STATES:
                 raise Refused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
@@ -676,7 +676,7 @@
         if options["region"] not in self._manager.plan.regions:
             raise Refused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
         age = options.get("started")
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         known = self._roster.version
         self._roster.add(
             server,
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -22,12 +22,12 @@
 from rushladder.gateways.holding import Holding, Stand, spans
 from rushladder.guard.waves import Effect
 from rushladder.intake.desk import Desk
-from rushladder.interface import Event, Listing, PeerWord, Probed, ProbeResult
+from rushladder.interface import Event, Listing, PeerMessage, Probed, ProbeResult
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient
 from rushladder.service.remembering import Remembering
 from rushladder.store.commands import Journal
-from rushladder.timing import TENTHS, Call, Clock, tenths
+from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
 PERIOD = 1.0  # s between two sums of reports: the module's bucket of time
 ERRORS_KEPT = 100  # lines of `show errors`: an hour of one fault every half minute
@@ -95,10 +95,10 @@
         self.roster, self.memory = Roster(), memory
         self.journal = memory.journal if memory is not None else Journal()
         self.replaced: Callable[[], None] = lambda: None
-        now = tenths(clock)
+        now = clock_tenths(clock)
         if memory is not None:
             restored, away = memory.list()
-        self.restored = bool(restored) and self.roster.load(restored, now, int(away * TENTHS))
+        self.restored = bool(restored) and self.roster.load(restored, now, int(away * TENTHS_PER_SECOND))
         if restored and not self.restored:
             self.fault("the list kept from before is not whole, and was passed over")
         for site in plan.collectors if not self.restored else ():
@@ -152,7 +152,7 @@
                     lease=lease,
                     highest=memory.epoch(site.name) if memory is not None else 0,
                 ),
-                Times(hold.poll / TENTHS, hold.patience / TENTHS),
+                Times(hold.poll / TENTHS_PER_SECOND, hold.patience / TENTHS_PER_SECOND),
                 self._random.random,
                 log,
                 self.give,
@@ -170,7 +170,7 @@
             memory.restore_trust(self.desk)
             products = {product.name: product for product in plan.products}
             self.core.take(now, memory.recall(self.roster, products, now))
-        self._wake: Call | None = None
+        self._wake: DelayedCall | None = None
         self._probing = dict[Server, None]()
         self._stopped = False
 
@@ -200,7 +200,7 @@
         if self._stopped:
             return
         self.events += len(events)
-        self.core.take(tenths(self.clock), *events)
+        self.core.take(clock_tenths(self.clock), *events)
         self._orders()
 
     def _orders(self) -> None:
@@ -218,7 +218,7 @@
             if self._wake is not None and self._wake.active():
                 self._wake.cancel()
             self._wake = self.clock.callLater(
-                max(0.0, wake / TENTHS - self.clock.seconds()) + 1e-4, self.give
+                max(0.0, wake / TENTHS_PER_SECOND - self.clock.seconds()) + 1e-4, self.give
             )
 
     def _period(self) -> None:
@@ -248,7 +248,7 @@
         if self.memory is None:
             return
         try:
-            learned, now = self.core.manager.learned(), tenths(self.clock)
+            learned, now = self.core.manager.learned_state(), clock_tenths(self.clock)
             self.memory.period(learned, self.roster, self.core.warden, self.desk, now)
             for driver in self.drivers:
                 if driver.holding.stand is Stand.HOLDING:
@@ -259,7 +259,7 @@
     def remember_changes(self) -> None:
         """The list and the operators' factors, at once: an answer says that they stand."""
         if self.memory is not None:
-            self.memory.listing(self.roster, tenths(self.clock))
+            self.memory.listing(self.roster, clock_tenths(self.clock))
             self.memory.guard(self.core.warden)
 
     def give_way(self) -> None:
@@ -285,7 +285,7 @@
             self._random.random,
             self.give,
             plan.guarantee.drain_grace,
-            plan.channel.longest_way,
+            plan.channel.max_delay,
         )
 
     def _came_by_name(self) -> list[Event]:
@@ -293,17 +293,17 @@
         if self.dns is None:
             return []
         try:
-            return self.dns.period(self.desk.rates(tenths(self.clock)))
+            return self.dns.period(self.desk.rates(clock_tenths(self.clock)))
         except Exception as trouble:
             self.fault(f"the DNS front's period failed: {type(trouble).__name__}: {trouble}")
             return []
 
     def _hints(self) -> dict[str, float]:
         """What servers' own reports say, against what was measured; empty where none reports."""
-        now = tenths(self.clock)
+        now = clock_tenths(self.clock)
         if not self.desk.senders:
             return {}
-        seen = {name: listed.server.seen(now, 4) for name, listed in self.roster.listed.items()}
+        seen = {name: listed.server.recent_totals(now, 4) for name, listed in self.roster.listed.items()}
         settled, time = (sum(sums[k] for sums in seen.values()) for k in (2, 3))
         mean = time / settled if settled else 0.0
         latency = {name: sums[3] / sums[2] / mean for name, sums in seen.items() if sums[2] >= 5 and mean}
@@ -326,17 +326,17 @@
         if self._prober is None or listed is None or listed.server is not server or server in self._probing:
             return
         self._probing[server] = None
-        asked = tenths(self.clock)
+        asked = clock_tenths(self.clock)
 
         def done(result: Any) -> None:
             self._probing.pop(server, None)
             found = result if isinstance(result, ProbeResult) else ProbeResult.ERROR
-            self.give(Probed(server, found, tenths(self.clock) - asked))
+            self.give(Probed(server, found, clock_tenths(self.clock) - asked))
 
         self._prober.probe(listed.address).addBoth(done)
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.give(PeerWord(peer, data))
+        self.give(PeerMessage(peer, data))
 
     def listing(self, event: Listing[Server] | None) -> None:
         """A change of the list that the runtime API made."""
@@ -351,7 +351,7 @@
                 self.dns.listing()
             self.give(event)
             if self.memory is not None:
-                self.memory.listing(self.roster, tenths(self.clock))
+                self.memory.listing(self.roster, clock_tenths(self.clock))
 
     def told(self, event: str, **more: Any) -> None:
         """Logs what an operator's command did."""
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -29,7 +29,7 @@
 from rushladder.conf.birth import Unfit, birth
 from rushladder.conf.objects import LogForm
 from rushladder.core.workers import Workers
-from rushladder.interface import Event, PeerWord, Probed, ProbeResult
+from rushladder.interface import Event, PeerMessage, Probed, ProbeResult
 from rushladder.peers.bare import BareLink, Place
 from rushladder.records import Server
 from rushladder.service.exchange import Prober
@@ -39,10 +39,12 @@
 from rushladder.streams.codec import load_report
 from rushladder.streams.front import Front
 from rushladder.streams.host import StreamHost
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 CONFIG, NAME, LISTEN, DISCOVERY = "RELAY_CONFIG", "RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY"
-EPOCH = 100_000 * TENTHS  # the module's clock at the start: a day, so that starts before it have a place
+EPOCH = (
+    100_000 * TENTHS_PER_SECOND
+)  # the module's clock at the start: a day, so that starts before it have a place
 # Probes at once: 200 workers, half of them cut off, are through within half a beat by the 0.3 s that dialling
 # may take; fewer where the proxies leave no descriptors for them, yet 30 workers in two helpings.
 PROBES_LEAST, PROBES_MOST = 16, 64
@@ -254,10 +256,10 @@
     # Time.
 
     def now(self) -> int:
-        return EPOCH + int((self._monotonic() - self._zero) * TENTHS)
+        return EPOCH + int((self._monotonic() - self._zero) * TENTHS_PER_SECOND)
 
     def placed(self, unix_ms: float) -> int:
-        return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS / 1000))
+        return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS_PER_SECOND / 1000))
 
     # Events in, orders out: all that one turn of the reactor read is one batch.
 
@@ -274,7 +276,7 @@
     def _woken(self) -> None:
         due = self.host.next()
         if due is not None:
-            self._late = max(self._late, (self.now() - due) / TENTHS)
+            self._late = max(self._late, (self.now() - due) / TENTHS_PER_SECOND)
         backlog = self.host.manager.backlog()
         self._waited = [
             max(self._waited[0], backlog.joiner_waited),
@@ -292,7 +294,7 @@
             if due is not None:
                 if self._wake is not None and self._wake.active():
                     self._wake.cancel()
-                wait = max(0.0, (due - self.now()) / TENTHS) + 1e-4
+                wait = max(0.0, (due - self.now()) / TENTHS_PER_SECOND) + 1e-4
                 self._wake = self._reactor.callLater(wait, self._woken)
 
     def _probe(self, server: Server) -> None:
@@ -320,7 +322,7 @@
         self._room.run(begin).addBoth(done)
 
     def _heard(self, peer: int, data: bytes) -> None:
-        self.give(PeerWord(peer, data))
+        self.give(PeerMessage(peer, data))
 
     # Signals and figures.
 
--- a/rushladder/service/remembering.py
+++ b/rushladder/service/remembering.py
@@ -14,7 +14,7 @@
 from rushladder.guard.history import Refused, Version
 from rushladder.guard.warden import Warden
 from rushladder.intake.desk import Desk
-from rushladder.interface import Learned, Product, Remembered
+from rushladder.interface import LearnedState, LearnedWorker, Product
 from rushladder.store.commands import Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
@@ -87,16 +87,16 @@
         memory = read(GatewayMemory, payload) if payload is not None else None
         return memory.epoch + LEAP if memory is not None else 0
 
-    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
+    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> LearnedState[Any]:
         """For the module. now: the manager's clock in tenths of a millisecond."""
         wall = self.now()
         standings = self._standings(roster, now)
         self.signs = self.notebook.signs(standings, wall)
-        workers = list[Learned[Any]]()
+        workers = list[LearnedWorker[Any]]()
         for known in self.notebook.recall(standings, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
             workers.append(
-                Learned(
+                LearnedWorker(
                     roster.listed[known.name].server,
                     known.pace,
                     known.factor,
@@ -110,9 +110,9 @@
         for _, memory in self._all(Kind.DEMAND, DemandMemory):
             demand = recalled_demand(memory, products, wall)
         if demand is None:
-            return Remembered(workers, 0.0)
+            return LearnedState(workers, 0.0)
         mix = {products[name]: part for name, part in demand.mix.items()}
-        return Remembered(workers, PER_MS * demand.quiet, mix)
+        return LearnedState(workers, PER_MS * demand.quiet, mix)
 
     def restore_guard(self, warden: Warden, now: int) -> None:
         """Versions of the operators' factors, what was refused, and a wave under way taken back."""
@@ -177,7 +177,9 @@
             memory = RefusedMemory(at=self.now(), who=refused.who, what=refused.what)
             self._put(Kind.REFUSED, str(self._refused % 200), memory)
 
-    def period(self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int) -> None:
+    def period(
+        self, learned: LearnedState[Any], roster: Roster, warden: Warden, desk: Desk, now: int
+    ) -> None:
         """Once a period: what has moved enough to be worth a record."""
         wall = self.now()
         servers = [
@@ -185,11 +187,11 @@
                 one.worker.name,
                 one.worker.zone,
                 one.worker.model,
-                one.pace,
+                one.speed,
                 one.factor,
-                one.heard,
-                one.out_for // PER_MS,
-                wall + (one.out_until - now) // PER_MS if one.out_until else 0,
+                one.report_count,
+                one.exclusion_time // PER_MS,
+                wall + (one.excluded_until - now) // PER_MS if one.excluded_until else 0,
             )
             for one in learned.workers
         ]
@@ -198,9 +200,9 @@
         for name in self.notebook.forget(set(self.notebook.known()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
         self._periods += 1
-        if self._periods % DEMAND_EVERY == 0 and learned.quiet:
+        if self._periods % DEMAND_EVERY == 0 and learned.calm_latency:
             mix = {product.name: part for product, part in learned.mix.items()}
-            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.quiet / PER_MS, mix=mix))
+            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.calm_latency / PER_MS, mix=mix))
             self._trust(desk, wall)
         self.guard(warden)
         self.listing(roster, now)
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -30,7 +30,7 @@
 from rushladder.store.log import Log, Refused
 from rushladder.store.memory import MINORS, fleet_of
 from rushladder.store.writer import Writer
-from rushladder.timing import tenths
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 SAVE_EVERY = 0.2  # s between two looks at whether the list has changed: many changes become one write
@@ -187,10 +187,12 @@
         check = AgentCheck()
 
         def said(answer: Agent) -> None:
-            self.manager.desk.asked(name, answer, tenths(reactor))
+            self.manager.desk.asked(name, answer, clock_tenths(reactor))
             state = AGENT_STATES.get(answer.admin or "")
             if state is not None and name in self.manager.roster.listed:
-                self.manager.listing(self.manager.roster.change(name, tenths(reactor), availability=state))
+                self.manager.listing(
+                    self.manager.roster.change(name, clock_tenths(reactor), availability=state)
+                )
 
         def unsaid(failure: Any) -> None:
             self.manager.fault(f"agent check of {name}: {failure.value}")
@@ -213,7 +215,7 @@
         roster = self.manager.roster
         if self._file is not None and (roster.version != self.manager.saved):
             try:
-                self._file.write(roster.dump(tenths(reactor)))
+                self._file.write(roster.dump(clock_tenths(reactor)))
                 self.manager.saved = roster.version
             except OSError as trouble:
                 self.manager.fault(f"the list could not be kept: {trouble}")
--- a/rushladder/store/writer.py
+++ b/rushladder/store/writer.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.store.log import KEYS, Key, Log
-from rushladder.timing import Call, Clock
+from rushladder.timing import Clock, DelayedCall
 
 GATHER = 0.05  # s in which puts gather: twenty syncs a second at the most, and an answer waits for one
 FIRST_WAIT, LONGEST_WAIT = 0.5, 30.0  # s before a disk that failed is tried again
@@ -30,7 +30,7 @@
         self._waiting = dict[Key, bytes | None]()
         self._acks, self._written = list[Deferred[None]](), list[Deferred[None]]()
         self._busy, self._wait = False, 0.0  # until the next try, where the last one failed
-        self._later: Call | None = None
+        self._later: DelayedCall | None = None
         self._done = list[Deferred[None]]()
         self._stopping = False
         self.batches, self.records, self.refused, self.last = 0, 0, 0, 0.0
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -86,8 +86,8 @@
         self.lines = self.messages = 0  # written, as the protocol counts them
         # When each proxy was last written, as often as the cap allows; and who waits for its turn until when.
         channel: Channel = described["channel"]
-        self.account = ChannelAccount(channel.lines_per_s, channel.head)
-        self._cap, self._span = channel.message_cap, channel.cap_span + CAP_MARGIN
+        self.account = ChannelAccount(channel.lines_per_s, channel.message_overhead)
+        self._cap, self._span = channel.message_cap, channel.cap_window + CAP_MARGIN
         self._written, self._held = dict[int, deque[int]](), dict[Port, int]()
         self._texts = dict[Any, str]()  # parts of this batch's messages: most go to all streams of a table
         self.manager = Manager(self, seed, **described)
@@ -106,9 +106,9 @@
         for event in (*self._reminders.due(self._now), *events, None):
             try:
                 if event is not None:
-                    self.manager.take(event)
+                    self.manager.handle(event)
                 else:
-                    self.manager.close()
+                    self.manager.end_batch()
             except Exception as fault:
                 faults.append(fault)
         touched, self._touched = self._touched, {}
@@ -143,7 +143,7 @@
             gateway = self._gateways[number] = Gateway(str(number), zone, weight)
         gateway.usual_rate = weight
         self.ports[number] = Port(gateway, stream)
-        return [*events, Joined(gateway, fresh, keeps=not fresh)]
+        return [*events, Joined(gateway, fresh, keeps_withdrawals=not fresh)]
 
     def leave(self, number: int, stream: Stream) -> Left[Gateway] | None:
         """The stream has ended: the event for the next batch, if it was still the proxy's."""
@@ -278,7 +278,7 @@
     def _table(self, number: int) -> Tbl:
         return self._tables.setdefault(number, Tbl())
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
         new = worker not in table.lines
@@ -295,7 +295,7 @@
             if new and weight > 0 and (worker in self._withdrawn or worker in self._released):
                 port.heed[worker] = None
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         table = self._table(tbl)
         table.lines.clear()
         table.gates.clear()
@@ -320,7 +320,7 @@
             if server in self._withdrawn or server in self._released:
                 port.heed[server] = None
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
         (self._withdrawn.add if out else self._withdrawn.discard)(worker)
         if not out:
@@ -330,7 +330,7 @@
                 self._touched[port] = None
                 port.heed[worker] = None
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         port = self.ports.get(int(proxy.name))
         if port is not None and port.gateway is proxy:
             self._touched[port] = None
@@ -338,7 +338,7 @@
                 assert isinstance(worker, Server)
                 port.heed[worker] = None
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for product in products or self.products:
             if tbl is None:
                 self._all[product] = level, retry
@@ -358,14 +358,14 @@
         assert isinstance(worker, Server)
         self._probes.append(worker)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self._words.append((peer, data))
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """The agent on the manager's own machine is always watched: every change comes by itself."""
 
-    def ask_list(self) -> None:
-        """As for `watch`."""
+    def request_list(self) -> None:
+        """As for `watch_list`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -7,7 +7,7 @@
 
 from rushladder.conf.grammar import Faulty, Unreadable, duration, words
 from rushladder.conf.reader import read
-from rushladder.interface import Repeat
+from rushladder.interface import Idempotency
 
 GOOD = """
 global
@@ -52,7 +52,7 @@
         plan = read(GOOD, "f")
         self.assertEqual((plan.identity.name, plan.identity.number, plan.peers[0].number), ("m1", 1, 0))
         self.assertEqual((plan.guarantee.drain_grace, plan.channel.message_cap), (42_000, 12))
-        self.assertIs(plan.products[0].repeat, Repeat.ONCE_ONLY)
+        self.assertIs(plan.products[0].idempotency, Idempotency.ONCE_ONLY)
         self.assertEqual((plan.gateways[0].usual_rate, plan.collectors[0].size), (12.5, 1.5))
         self.assertEqual([str(listener.address) for listener in plan.listeners], ["unix@/tmp/m1.sock"])
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -60,9 +60,9 @@
 )
 from rushladder.streams.front import JOIN_WITHIN, Front, Talk
 from rushladder.streams.host import StreamHost
-from tests.fakehost import ASK, PAY, SECOND, FakeHost
+from tests.fake_host import ASK, PAY, SECOND, FakeHost
 
-DESCRIBED: dict[str, Any] = FakeHost().described
+DESCRIBED: dict[str, Any] = FakeHost().manager_args
 ROOT = Path(__file__).parent.parent
 
 
@@ -286,7 +286,7 @@
         talk.dataReceived(b"ACK proxy=0 mark=1 took_ms=300\r\n")
         (answered,) = self.turn()
         assert isinstance(answered, Applied)
-        self.assertEqual((answered.number, answered.elapsed), (1, 3000))
+        self.assertEqual((answered.mark, answered.elapsed), (1, 3000))
         talk.dataReceived(b"ACK proxy=0 mark=1 took_ms=300\r\n")  # twice: it drains nothing twice
         self.assertEqual(self.turn(), [])
 
@@ -329,10 +329,10 @@
         tries, came = self.turn()
         assert isinstance(tries, Tries) and isinstance(came, Arrivals)
         self.assertEqual(
-            (tries.worker.name, tries.many, tries.voided, tries.mean, dict(tries.load)),
+            (tries.worker.name, tries.count, tries.voided, tries.mean_latency, dict(tries.load)),
             ("s1", 20, 1, 400, {"util": 0.5}),
         )
-        self.assertEqual((came.product, came.many, wire.lines()), (PAY, 3, []))
+        self.assertEqual((came.product, came.count, wire.lines()), (PAY, 3, []))
 
     def test_a_stream_that_turns_unreadable_has_left(self) -> None:
         talk, wire = self.join()
@@ -359,8 +359,8 @@
         worker = self.workers.get("s0")
         assert worker is not None
         for weight in range(1, 500):
-            self.host.weigh(0, worker, float(weight))
-        self.host.hold_back(worker, True)
+            self.host.set_weight(0, worker, float(weight))
+        self.host.set_withdrawn(worker, True)
         self.turn()
         self.assertEqual(wire.lines(), [])
         talk.resumeProducing()
@@ -373,7 +373,7 @@
         old.pauseProducing()
         worker = self.workers.get("s0")
         assert worker is not None
-        self.host.weigh(0, worker, 3.0)
+        self.host.set_weight(0, worker, 3.0)
         self.turn()
         wire.lines()
         _, new = self.join(0, fresh=0)
@@ -391,7 +391,7 @@
         assert worker is not None
         streams[0][0].pauseProducing()
         for weight in (3, 4):
-            self.host.weigh(0, worker, float(weight))
+            self.host.set_weight(0, worker, float(weight))
             self.turn()
             if weight == 3:
                 streams[0][0].resumeProducing()  # written between two batches
@@ -413,13 +413,13 @@
         _, wire = self.join()
         self.turn()
         self.run_for(0.2)
-        self.host.hold_back(worker, True)
-        self.host.weigh(0, worker, 0.0)
+        self.host.set_withdrawn(worker, True)
+        self.host.set_weight(0, worker, 0.0)
         self.turn()
-        self.host.hold_back(worker, False)
+        self.host.set_withdrawn(worker, False)
         self.turn()
         wire.lines()
-        self.host.weigh(0, worker, 1.0)
+        self.host.set_weight(0, worker, 1.0)
         self.turn()
         self.assertEqual(wire.lines(), ["CONFIG undrop=s0 part=1", "CONFIG for=ask+pay rows=s0:1"])
 
@@ -429,8 +429,8 @@
         self.run_for(0.2)
         wire.lines()
         before = self.host.lines
-        self.host.gate(0, [ASK], 0.5, Retry.UNSENT)
-        self.host.gate(0, [PAY], 0.9, Retry.UNSENT)
+        self.host.set_level(0, [ASK], 0.5, Retry.UNSENT)
+        self.host.set_level(0, [PAY], 0.9, Retry.UNSENT)
         self.host.checkpoint(9, False)
         self.turn()
         self.assertEqual(
@@ -445,7 +445,7 @@
         self.run_for(0.2)
         wire.lines()
         for k in range(25_000):
-            self.host.weigh(
+            self.host.set_weight(
                 0, self.workers.entry(f"w{k}", "a", "m", 0, Availability.READY, 1.0, 0).worker, 1.0
             )
         self.host.checkpoint(9, False)
@@ -475,7 +475,7 @@
 
     def setUp(self) -> None:
         self.now, self.sent = 1000 * SECOND, list[int]()
-        self.host = StreamHost(7, FakeHost(cap=12).described, self.now, lambda *_: None, lambda *_: None)
+        self.host = StreamHost(7, FakeHost(cap=12).manager_args, self.now, lambda *_: None, lambda *_: None)
         catalog = Catalog(Workers(), lambda ms: 1, lambda *_: None)
         told = catalog.line(listing(1, *(entry(f"s{k}") for k in range(6))))
         assert told is not None
@@ -565,7 +565,7 @@
             self.join(number, "ab"[number % 2])
         self.turn()
         self.run_for(1)
-        names = {server.name: weight for server, weight in fake.lines(0).items()}
+        names = {server.name: weight for server, weight in fake.table_weights(0).items()}
         self.assertEqual({server.name for server in self.host._tables[0].lines}, set(names))
         self.assertEqual({s.name: round(w, 3) for s, w in self.host._tables[0].lines.items()}, names)
 
@@ -873,7 +873,7 @@
 
     def test_refusals_and_silence_have_their_names(self) -> None:
         away = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        self.assertEqual(self.probe(away)[1], [(ProbeResult.TURNED_AWAY, b"")])
+        self.assertEqual(self.probe(away)[1], [(ProbeResult.REJECTED, b"")])
         self.assertEqual(self.probe(after=1.1)[1], [(ProbeResult.TIMED_OUT, b"")])
         half = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nutil=0.6"
         _, found, wire = self.probe(half, after=1.1)
@@ -893,7 +893,7 @@
             (b"", (ProbeResult.RESET, b"")),
             (b"HTTP/1.1 200 O", (ProbeResult.RESET, b"")),
             (b"HTTP/1.1 200 OK\r\n\r\nutil=0.6", (ProbeResult.OK, b"util=0.6")),
-            (b"HTTP/1.1 503 x\r\nContent-Length: 9\r\n\r\nu", (ProbeResult.TURNED_AWAY, b"u")),
+            (b"HTTP/1.1 503 x\r\nContent-Length: 9\r\n\r\nu", (ProbeResult.REJECTED, b"u")),
         ):
             with self.subTest(said):
                 reactor, found = MemoryReactorClock(), list[Any]()
@@ -920,7 +920,7 @@
         for said, ended in (
             (b"HTTP/1.1 200 OK\r\n", ProbeResult.OK),
             (b"HTTP/1.0 204\r\n", ProbeResult.OK),
-            (b"HTTP/1.1 503 x\r\n", ProbeResult.TURNED_AWAY),
+            (b"HTTP/1.1 503 x\r\n", ProbeResult.REJECTED),
             (b"HTTP/1.1 500 x\r\n", ProbeResult.ERROR),
             (b"+OK\r\n", ProbeResult.ERROR),
             (b"HTTP/1.1 2000\r\n", ProbeResult.ERROR),
@@ -1023,14 +1023,14 @@
             send = staticmethod(sent.append)
 
         joined = node.host.join(3, "a", 9.0, True, Stream())
-        take, broken = node.host.manager.take, Left(node.host.ports[3].gateway)
+        take, broken = node.host.manager.handle, Left(node.host.ports[3].gateway)
 
         def faulty(event: Event) -> None:
             if event is broken:
                 raise ZeroDivisionError
             take(event)
 
-        node.host.manager.take = faulty
+        node.host.manager.handle = faulty
         with self.assertRaises(ZeroDivisionError):
             node.host.take(node.now(), [broken, *joined])
         node.host.take(node.now() + SECOND)
