--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet import reactor as _reactor
 
-from rushladder.conf.reader import read
+from rushladder.conf.reader import parse_config
 from rushladder.core.host import Message
 from rushladder.gateways.diff import server_commands
 from rushladder.gateways.driver import GatewayDriver
@@ -108,7 +108,7 @@
             name = command.words[2]
             if command.words[0] == "add" and tuple(name.split("/")) in port.held.lines:
                 command = Command(("set", "server", name, "weight", "0"))
-            await client.ask(command)
+            await client.send(command)
         await super()._send_commands(client, message)
         return refused
 
@@ -131,7 +131,7 @@
         found = dict[str, float]()
         try:
             time.sleep(1.5 + many / 200)
-            manager = Manager(read(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
+            manager = Manager(parse_config(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
             if plain:
                 for driver in manager.drivers:
                     driver.__class__ = PlainDriver
@@ -147,7 +147,7 @@
                 now = clock_tenths(reactor)
                 for k in range(0, servers, 5):
                     state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
-                    manager.listing(manager.roster.change(f"c{k}", now, availability=state))
+                    manager.apply_list_change(manager.roster.change(f"c{k}", now, availability=state))
 
             def collect() -> None:
                 for elapsed in manager.core.apply_times:
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -27,7 +27,7 @@
 from rushladder.catalog.reader import Catalog, Faulty
 from rushladder.catalog.watch import Watch
 from rushladder.conf.startup_settings import SettingsError, manager_arguments
-from rushladder.conf.objects import LogForm
+from rushladder.conf.objects import LogSettings
 from rushladder.core.workers import Workers
 from rushladder.interface import Event, PeerMessage, Probed, ProbeResult
 from rushladder.peers.raw_link import RawPeerLink, Place
@@ -436,7 +436,7 @@
 def main() -> int:
     """Serves until SIGTERM. Leaves with 2 and one line if the configuration is faulty."""
     signals = Signals()
-    log = make_log(LogForm("json", "info"))
+    log = make_log(LogSettings("json", "info"))
     try:
         site = read_site(os.environ)
     except Wrong as trouble:
