--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -126,7 +126,7 @@
 
     def mark() -> None:
         marks.append(time.process_time())
-        held.append(sum(driver.port is not None for driver in manager.drivers))
+        held.append(sum(driver.session is not None for driver in manager.drivers))
 
     def ask() -> None:
         mark()
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -182,7 +182,7 @@
 
     def ended() -> None:
         turn("settling")
-        held.append(len(manager.core.ports))
+        held.append(len(manager.core.sessions))
 
     reactor.callWhenRunning(manager.start)
     reactor.callLater(BEAT, beat, reactor.seconds() + BEAT)
--- a/rushladder/dnsfront/front.py
+++ b/rushladder/dnsfront/front.py
@@ -13,7 +13,7 @@
 import attrs
 
 from rushladder.conf.objects import DnsSite
-from rushladder.core.host import LEVELS_MAP, Core, Port
+from rushladder.core.host import LEVELS_MAP, Core, GatewaySession
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.answers import Answers, Asked, Chosen, Regions, Target, label
 from rushladder.dnsfront.askers import FADES, Asker, Askers
@@ -23,7 +23,7 @@
 from rushladder.dnsfront.records import Answer, Question, Rcode
 from rushladder.dnsfront.split import Share, Split
 from rushladder.dnsfront.zone import Kind, Place, Zone
-from rushladder.gateways.difference import Admin, Held, applied
+from rushladder.gateways.diff import AdminState, GatewayContent, apply_commands
 from rushladder.interface import Arrivals, Availability, Event, Joined, Product, Repeat
 from rushladder.records import Gateway
 from rushladder.timing import Call, Clock, tenths
@@ -80,11 +80,11 @@
 
     def __init__(self, gateway: Gateway, core: Core, clock: Clock, changed: Callable[[Seat], None]) -> None:
         self.gateway, self._core, self._clock, self._changed = gateway, core, clock, changed
-        self.port: Port | None = None
+        self.port: GatewaySession | None = None
         self._later: Call | None = None
 
     def begin(self) -> Event:
-        self.port = self._core.joined(self.gateway, Held({}, {}), capped=False)
+        self.port = self._core.add_gateway(self.gateway, GatewayContent({}, {}), capped=False)
         return Joined(self.gateway, True)
 
     def kick(self) -> None:
@@ -96,10 +96,10 @@
         port, now = self.port, tenths(self._clock)
         if port is None or port.due(now) is None:
             return
-        message = self._core.message(now, port)
-        applied(port.held.lines, message.commands)
+        message = self._core.next_message(now, port)
+        apply_commands(port.held.lines, message.commands)
         port.held.maps.update({name: dict(entries) for name, entries in message.maps.items()})
-        self._core.answered(now, port)
+        self._core.message_applied(now, port)
         self._changed(self)
 
 
@@ -201,7 +201,7 @@
                     backend != product.name
                     or known is None
                     or not line.weight
-                    or line.admin is not Admin.READY
+                    or line.admin is not AdminState.READY
                 ):
                     continue
                 if known.availability is not Availability.READY:
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -12,10 +12,10 @@
 from rushladder import __version__
 from rushladder.conf.grammar import Unreadable, duration, inet, name, number
 from rushladder.core.host import LEVELS_MAP, RETRIES_MAP
-from rushladder.core.roster import NoSuch
-from rushladder.gateways.difference import Admin
+from rushladder.core.roster import RosterError
+from rushladder.gateways.diff import AdminState
 from rushladder.guard.history import Version
-from rushladder.guard.warden import Denied
+from rushladder.guard.table_guard import Denied
 from rushladder.interface import Availability
 from rushladder.runtime.endpoint import Level, Refused, Verb, Verbs
 from rushladder.runtime.grammar import Command, csv
@@ -191,7 +191,7 @@
     def call(command: Command, level: Level) -> str:
         try:
             return run(command.words)
-        except (NoSuch, Unreadable) as trouble:
+        except (RosterError, Unreadable) as trouble:
             raise Refused(f"{trouble}") from None
         except IndexError:
             raise Refused("An argument is missing, see 'help'.") from None
@@ -259,8 +259,8 @@
 
     def info(self, words: tuple[str, ...]) -> str:
         manager, up = self._manager, self._manager.clock.seconds() - self._manager.started
-        owed, sent = self._core.waiting()
-        unanswered = sum(driver.waiting() for driver in manager.drivers)
+        owed, sent = self._core.line_counts()
+        unanswered = sum(driver.unanswered_commands() for driver in manager.drivers)
         facts: dict[str, str | int] = {
             "Name": "rushladder",
             "Version": __version__,
@@ -270,7 +270,7 @@
             "Beats": manager.beats,
             "Events": manager.events,
             "Gateways": len(manager.drivers),
-            "GatewaysHeld": sum(driver.port is not None for driver in manager.drivers),
+            "GatewaysHeld": sum(driver.session is not None for driver in manager.drivers),
             "Servers": len(self._roster.listed),
             "ListVersion": self._roster.version,
             "ListRestored": int(manager.restored),
@@ -293,13 +293,13 @@
                 sum(values)
                 for values in zip(
                     (0.0, 0.0),
-                    *(gateway.came[product].total(now, 5) for gateway in self._core.ports),
+                    *(gateway.came[product].total(now, 5) for gateway in self._core.sessions),
                     strict=True,
                 )
             ]
             levels = [
-                int(float(self._core.level_text(tbl.gates[product][0])))
-                for port in self._core.ports.values()
+                int(float(self._core.format_level(tbl.gates[product][0])))
+                for port in self._core.sessions.values()
                 if (tbl := port.tables.get(product)) is not None and product in tbl.gates
             ]
             rows.append(
@@ -308,17 +308,19 @@
                     "svname": "BACKEND",
                     "status": "UP",
                     "stot": int(sums[0]),
-                    "req_rate": round(TENTHS * sums[0] * len(self._core.ports) / sums[1], 1)
+                    "req_rate": round(TENTHS * sums[0] * len(self._core.sessions) / sums[1], 1)
                     if sums[1]
                     else 0,
                     "level_permille": min(levels, default=1000),
-                    "gateways": len(self._core.ports),
+                    "gateways": len(self._core.sessions),
                 }
             )
         used = dict[str, int]()
-        for port in self._core.ports.values():
+        for port in self._core.sessions.values():
             carries = {
-                key[1] for key, line in port.held.lines.items() if line.weight and line.admin is Admin.READY
+                key[1]
+                for key, line in port.held.lines.items()
+                if line.weight and line.admin is AdminState.READY
             }
             for server in carries:
                 used[server] = used.get(server, 0) + 1
@@ -370,7 +372,7 @@
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
             raise Refused("Unknown map identifier. Please use levels or retries.")
         text, place = "", 0
-        for port in self._core.ports.values():
+        for port in self._core.sessions.values():
             for key, value in self._core.maps(port)[words[2]].items():
                 place += 1
                 text += f"0x{place:x} {port.gateway.name}/{key} {value}\n"
@@ -379,27 +381,27 @@
     def sess(self, words: tuple[str, ...]) -> str:
         now, text = tenths(self._manager.clock), ""
         for driver in self._manager.drivers:
-            port, hold = driver.port, driver.holding
+            port, hold = driver.session, driver.election
             text += (
-                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.stand.name.lower()} "
-                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.waiting()}"
+                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.state.name.lower()} "
+                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
             )
             if port is not None:
                 age = (now - port.sent_at) // 10 if port.sent_at else 0
                 text += (
-                    f" owed={port.owed_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
+                    f" owed={port.pending_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
                     f"lines={len(port.held.lines)}"
                 )
             text += "\n"
         return text
 
     def table(self, words: tuple[str, ...]) -> str:
-        port = next((port for port in self._core.ports.values() if port.gateway.name == words[2]), None)
+        port = next((port for port in self._core.sessions.values() if port.gateway.name == words[2]), None)
         if port is None:
             raise Refused("No such gateway held here.")
         rows = list[list[object]]()
         for product in port.tables:
-            for key, line in self._core.wanted(port, product).items():
+            for key, line in self._core.desired_lines(port, product).items():
                 held = port.held.lines.get(key)
                 rows.append(
                     [
@@ -428,19 +430,19 @@
         return (product, server), number(0, 10_000, "%")(percent) / 100
 
     def _propose(self, why: str, changes: list[tuple[tuple[str, str], float]]) -> str:
-        gateways, warden = self._core.using({key for key, _ in changes}), self._core.warden
-        return self._stands(lambda now: warden.propose("operator", why, changes, gateways, now))
+        gateways, table_guard = self._core.gateways_using({key for key, _ in changes}), self._core.table_guard
+        return self._stands(lambda now: table_guard.propose("operator", why, changes, gateways, now))
 
     def _stands(self, change: Callable[[int], Version]) -> str:
-        warden = self._core.warden
+        table_guard = self._core.table_guard
         try:
             version = change(tenths(self._manager.clock))
         except Denied as denied:
             raise Refused(f"Refused: {denied}.") from None
-        self._core.owe_all()
+        self._core.mark_all_pending()
         self._manager.give()
-        wave = warden.wave
-        out = wave is not None and not wave.over and wave.number == version.number
+        wave = table_guard.wave
+        out = wave is not None and not wave.finished and wave.number == version.number
         self._manager.told("table.accepted", version=version.number, why=version.why, wave=out)
         return f"Version {version.number} {'goes out in waves' if out else 'stands'}.\n"
 
@@ -475,17 +477,17 @@
     def rollback(self, words: tuple[str, ...]) -> str:
         if not words[2].isdigit():
             raise Refused("Require a version's number.")
-        warden = self._core.warden
-        keys = {key for one in warden.history.all() for key in one.factors}
-        gateways = self._core.using(keys)
-        return self._stands(lambda now: warden.rollback("operator", int(words[2]), gateways, now))
+        table_guard = self._core.table_guard
+        keys = {key for one in table_guard.history.all() for key in one.factors}
+        gateways = self._core.gateways_using(keys)
+        return self._stands(lambda now: table_guard.rollback("operator", int(words[2]), gateways, now))
 
     @staticmethod
     def _age(at: int, now: int) -> int:
         return (now - at) // TENTHS if at else -1
 
     def history(self, words: tuple[str, ...]) -> str:
-        now, history = tenths(self._manager.clock), self._core.warden.history
+        now, history = tenths(self._manager.clock), self._core.table_guard.history
         return "# version parent age_s who lines state why\n" + "".join(
             f"{one.number} {one.parent} {self._age(one.at, now)} {one.who} {len(one.factors)} "
             f"{'current' if one.number == history.current else one.state.replace(' ', '_')} {one.why}\n"
@@ -494,7 +496,7 @@
 
     def diff(self, words: tuple[str, ...]) -> str:
         try:
-            rows = self._core.warden.history.diff(int(words[3]), int(words[4]))
+            rows = self._core.table_guard.history.diff(int(words[3]), int(words[4]))
         except (KeyError, ValueError):
             raise Refused("No such version.") from None
         return "# pxname svname before after\n" + "".join(
@@ -505,16 +507,16 @@
         now = tenths(self._manager.clock)
         return "".join(
             f"[{(now - one.at) // TENTHS}s ago] {one.who}: {one.what}\n"
-            for one in self._core.warden.history.refused
+            for one in self._core.table_guard.history.refused
         )
 
     def wave(self, words: tuple[str, ...]) -> str:
-        wave = self._core.warden.wave
+        wave = self._core.table_guard.wave
         if wave is None:
             return "No wave.\n"
         return (
             f"version={wave.number} stage={wave.stage.name.lower()} gateways={','.join(wave.changed) or '-'} "
-            f"txns={wave.watch.seen:.0f} sure_worse={wave.watch.sureness():.3f}\n"
+            f"txns={wave.test.txns:.0f} sure_worse={wave.test.probability_worse():.3f}\n"
         )
 
     # Load reports.
@@ -647,7 +649,7 @@
         elif words[3] == "weight":
             size = number(0.001, 1000)(words[4])
             try:
-                self._core.warden.resize("operator", server, size / self._roster[server].size, now)
+                self._core.table_guard.resize("operator", server, size / self._roster[server].size, now)
             except Denied as denied:
                 raise Refused(f"Refused: {denied}.") from None
             self._manager.listing(self._roster.change(server, now, size=size))
@@ -688,7 +690,7 @@
         )
         if self._roster.version == known:
             return "Already listed.\n"
-        self._manager.listing(self._roster.told(server))
+        self._manager.listing(self._roster.listing_of(server))
         return "New server registered.\n"
 
     def del_server(self, words: tuple[str, ...]) -> str:
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -15,11 +15,11 @@
 
 from rushladder.conf.objects import GatewaySite, Plan
 from rushladder.core.host import Core
-from rushladder.core.reports import Reports
+from rushladder.core.traffic import TrafficSums
 from rushladder.core.roster import Roster
 from rushladder.dnsfront.front import Front
-from rushladder.gateways.driver import GatewayDriver, Log, Times
-from rushladder.gateways.holding import Holding, Stand, spans
+from rushladder.gateways.driver import GatewayDriver, Log, DriverTimes
+from rushladder.gateways.election import HolderElection, HolderState, lease_and_settle_times
 from rushladder.guard.waves import Effect
 from rushladder.intake.desk import Desk
 from rushladder.interface import Event, Listing, PeerWord, Probed, ProbeResult
@@ -117,7 +117,7 @@
             if (listed := self.roster.listed.get(site.name)) is not None:
                 listed.limit, listed.connections = site.limit, site.connections
         self.saved = self.roster.version
-        self.reports, self.words = Reports(), deque[Words](maxlen=1)
+        self.reports, self.words = TrafficSums(), deque[Words](maxlen=1)
         self.desk, self.lanes = Desk(now, blind=plan.blind), list[Reading]()
         self._reporters()
         self.core = Core(
@@ -135,7 +135,7 @@
             gateways=[(site.name, site.region, site.usual_rate) for site in plan.gateways],
         )
         hold = plan.holding
-        lease, settle = spans(hold.poll)
+        lease, settle = lease_and_settle_times(hold.poll)
         self.drivers = [
             GatewayDriver(
                 clock,
@@ -143,16 +143,16 @@
                 Gateway(site.name, site.region, site.usual_rate),
                 self.core,
                 self.reports,
-                Holding(
+                HolderElection(
                     plan.identity.name,
                     plan.identity.region,
                     site.region if plan.peers else plan.identity.region,  # alone, it is at home everywhere
                     takeover=hold.takeover,
                     settle=settle,
                     lease=lease,
-                    highest=memory.epoch(site.name) if memory is not None else 0,
+                    highest_epoch=memory.epoch(site.name) if memory is not None else 0,
                 ),
-                Times(hold.poll / TENTHS, hold.patience / TENTHS),
+                DriverTimes(hold.poll / TENTHS, hold.patience / TENTHS),
                 self._random.random,
                 log,
                 self.give,
@@ -166,7 +166,7 @@
         if self.dns is not None:
             self._by_gateway |= {seat.gateway: seat for seat in self.dns.seats}
         if memory is not None:
-            memory.restore_guard(self.core.warden, now)
+            memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.desk)
             products = {product.name: product for product in plan.products}
             self.core.take(now, memory.recall(self.roster, products, now))
@@ -191,7 +191,7 @@
             driver.stop()
         if self._wake is not None and self._wake.active():
             self._wake.cancel()
-        self._log.info("manager.stopped", gateways=len(self.core.ports))
+        self._log.info("manager.stopped", gateways=len(self.core.sessions))
 
     # Events in, orders out.
 
@@ -207,11 +207,11 @@
         probes, self.core.probes = self.core.probes, []
         for server in probes:
             self._probe(server)
-        words, self.core.words = self.core.words, []
+        words, self.core.peer_messages = self.core.peer_messages, []
         for data in words:
             for sender in self.words:
                 sender.tell(data)
-        for port in self.core.take_ready():
+        for port in self.core.take_pending_sessions():
             self._by_gateway[port.gateway].kick()
         wake = self.core.next_wake()
         if wake is not None:
@@ -225,21 +225,21 @@
         if not self._stopped:
             self.beats += 1
             self.clock.callLater(PERIOD, self._period)
-            self.core.tell_demand()
-            effect = self.core.watch_wave(self.reports.take_met())
-            if effect is not Effect.NONE and self.core.warden.wave is not None:
-                wave = self.core.warden.wave
+            self.core.update_guard_demand()
+            effect = self.core.evaluate_wave(self.reports.take_arms())
+            if effect is not Effect.NONE and self.core.table_guard.wave is not None:
+                wave = self.core.table_guard.wave
                 self._log.info(
                     "wave",
                     version=wave.number,
                     effect=effect.value,
                     stage=wave.stage.value,
                     gateways=len(wave.changed),
-                    sure=round(wave.watch.sureness(), 4),
+                    sure=round(wave.test.probability_worse(), 4),
                 )
-            self.give(*self.reports.close(self._hints()), *self._came_by_name())
+            self.give(*self.reports.take_events(self._hints()), *self._came_by_name())
             self._remember()
-            faults, self.core.warden.faults = self.core.warden.faults, []
+            faults, self.core.table_guard.order_errors = self.core.table_guard.order_errors, []
             for what in faults:
                 self.fault(what)
 
@@ -249,10 +249,10 @@
             return
         try:
             learned, now = self.core.manager.learned(), tenths(self.clock)
-            self.memory.period(learned, self.roster, self.core.warden, self.desk, now)
+            self.memory.period(learned, self.roster, self.core.table_guard, self.desk, now)
             for driver in self.drivers:
-                if driver.holding.stand is Stand.HOLDING:
-                    self.memory.held(driver.gateway.name, driver.holding.epoch)
+                if driver.election.state is HolderState.HOLDING:
+                    self.memory.held(driver.gateway.name, driver.election.epoch)
         except Exception as trouble:
             self.fault(f"what was learned could not be noted: {type(trouble).__name__}: {trouble}")
 
@@ -260,7 +260,7 @@
         """The list and the operators' factors, at once: an answer says that they stand."""
         if self.memory is not None:
             self.memory.listing(self.roster, tenths(self.clock))
-            self.memory.guard(self.core.warden)
+            self.memory.guard(self.core.table_guard)
 
     def give_way(self) -> None:
         """A later process of this manager's name steers: this one sends nothing more."""
--- a/rushladder/service/remembering.py
+++ b/rushladder/service/remembering.py
@@ -11,8 +11,8 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.core.roster import Roster
-from rushladder.guard.history import Refused, Version
-from rushladder.guard.warden import Warden
+from rushladder.guard.history import RefusedChange, Version
+from rushladder.guard.table_guard import TableGuard
 from rushladder.intake.desk import Desk
 from rushladder.interface import Learned, Product, Remembered
 from rushladder.store.commands import Journal
@@ -114,7 +114,7 @@
         mix = {products[name]: part for name, part in demand.mix.items()}
         return Remembered(workers, PER_MS * demand.quiet, mix)
 
-    def restore_guard(self, warden: Warden, now: int) -> None:
+    def restore_guard(self, table_guard: TableGuard, now: int) -> None:
         """Versions of the operators' factors, what was refused, and a wave under way taken back."""
         wall = self.now()
         versions, stands = list[Version](), 0
@@ -126,11 +126,11 @@
             if memory.stands:
                 stands = memory.parent if memory.waving else memory.number
         refused = [
-            Refused(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
+            RefusedChange(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
             for _, memory in sorted(self._all(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at)
         ]
-        warden.history.restore(versions, stands, refused)
-        self._refused = warden.history.refusals
+        table_guard.history.restore(versions, stands, refused)
+        self._refused = table_guard.history.refusal_count
 
     def restore_trust(self, desk: Desk) -> None:
         wall = self.now()
@@ -158,9 +158,9 @@
                 del self._starts[name]
             self._put(Kind.LIST, "list", ListMemory(at=self.now(), text=roster.dump(now)))
 
-    def guard(self, warden: Warden) -> None:
-        history, wave = warden.history, warden.wave
-        waving = wave.number if wave is not None and not wave.over else -1
+    def guard(self, table_guard: TableGuard) -> None:
+        history, wave = table_guard.history, table_guard.wave
+        waving = wave.number if wave is not None and not wave.finished else -1
         seen = dict[int, tuple[str, bool, bool]]()
         for version in history.all():
             if not version.number:
@@ -177,7 +177,9 @@
             memory = RefusedMemory(at=self.now(), who=refused.who, what=refused.what)
             self._put(Kind.REFUSED, str(self._refused % 200), memory)
 
-    def period(self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int) -> None:
+    def period(
+        self, learned: Remembered[Any], roster: Roster, table_guard: TableGuard, desk: Desk, now: int
+    ) -> None:
         """Once a period: what has moved enough to be worth a record."""
         wall = self.now()
         servers = [
@@ -202,7 +204,7 @@
             mix = {product.name: part for product, part in learned.mix.items()}
             self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.quiet / PER_MS, mix=mix))
             self._trust(desk, wall)
-        self.guard(warden)
+        self.guard(table_guard)
         self.listing(roster, now)
         for name in self.journal.fade(wall):
             self.writer.put(Kind.COMMAND, name, None)
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -435,7 +435,7 @@
 
     def test_an_answer_by_tcp_is_the_one_that_was_truncated(self) -> None:
         first = self.world.named("_ask._tcp.a.svc.example", kind="SRV")
-        self.world.managers["m0"].core.warden.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
+        self.world.managers["m0"].core.table_guard.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
         self.assertEqual(self.world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True), first)
 
     def test_a_server_told_to_drain_is_in_no_further_answer(self) -> None:
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -209,7 +209,7 @@
         world.start_manager("m1")
         world.run(20, rate=20)
         self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m1"))
-        self.assertEqual(len(world.managers["m0"].core.ports), 1)
+        self.assertEqual(len(world.managers["m0"].core.sessions), 1)
 
     def test_a_stale_managers_late_write_is_undone(self) -> None:
         world = World(managers=2)
@@ -230,7 +230,7 @@
         wire.other.muted = True  # it still hears and acts, but nothing of it is heard
         world.down.add("g1")
         world.run(4, rate=20)
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.ports.values()], ["g0"])
+        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
         self.assertIn("no answer within", ctl(world.managers["m0"], "show errors"))
 
 
@@ -250,9 +250,9 @@
         wire.abortConnection()
         world.run(6, rate=20)
         world.shape = lambda name, near: None
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.ports.values()], ["g0"])
+        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
         world.run(10, rate=20)
-        self.assertEqual(len(world.managers["m0"].core.ports), 2)
+        self.assertEqual(len(world.managers["m0"].core.sessions), 2)
         return world
 
     def test_garbage_costs_the_connection_and_nothing_else(self) -> None:
@@ -299,7 +299,9 @@
                 f"set server fleet/s{turn % 2} state {('drain', 'ready')[turn // 2 % 2]}",
             )
             world.run(0.5, rate=20)
-            self.assertLessEqual(max(driver.waiting() for driver in world.managers["m0"].drivers), 70)
+            self.assertLessEqual(
+                max(driver.unanswered_commands() for driver in world.managers["m0"].drivers), 70
+            )
         world.run(8, rate=20)
         for name in world.sites:
             usable = world.usable(name, "pay")
@@ -395,7 +397,7 @@
     def test_the_modules_own_bad_order_is_a_fault_and_the_last_good_table_stays(self) -> None:
         world = self.world()
         manager, before = world.managers["m0"], world.usable("g0", "pay")
-        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.ports)
+        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.sessions)
         manager.core.weigh(number, next(iter(table_.lines)), float("inf"))
         manager.give()
         world.run(1.5, rate=20)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -278,12 +278,12 @@
     def test_epochs_go_on_even_where_gateway_and_disk_both_forgot(self) -> None:
         world = Remembered()
         world.run(8, 5)
-        before = world.managers["m0"].drivers[0].holding.epoch
+        before = world.managers["m0"].drivers[0].election.epoch
         world.kill("m0")
         world.start_gateway("g0", pid=2)
         world.start_manager("m0")
         world.run(8, 5)
-        self.assertGreater(world.managers["m0"].drivers[0].holding.epoch, before + LEAP - 1)
+        self.assertGreater(world.managers["m0"].drivers[0].election.epoch, before + LEAP - 1)
 
     def test_a_process_that_was_replaced_gives_way_and_sends_nothing_more(self) -> None:
         world = World()
@@ -295,34 +295,34 @@
         world.run(12, 5)
         self.assertEqual(stopped, [True])
         self.assertIn("replaced by a later process", old.errors[-1].what)
-        self.assertEqual(len(new.core.ports), 2)
-        self.assertFalse(old.core.ports)
+        self.assertEqual(len(new.core.sessions), 2)
+        self.assertFalse(old.core.sessions)
 
     def test_operators_factors_stand_after_a_restart_and_a_wave_is_taken_back(self) -> None:
         world = Remembered(gateways=4, servers=8)
         world.run(12, 10)
         world.say("m0", "set weight ask/s0 90%")
         world.run(2, 10)
-        first = world.managers["m0"].core.warden.history.current
+        first = world.managers["m0"].core.table_guard.history.current
         world.say("m0", "set weight ask/s2 30%")
         world.run(1, 10)
-        wave = world.managers["m0"].core.warden.wave
-        assert wave is not None and not wave.over
+        wave = world.managers["m0"].core.table_guard.wave
+        assert wave is not None and not wave.finished
         world.power_cut("m0")
-        warden = world.managers["m0"].core.warden
-        self.assertEqual(warden.history.current, first)
-        self.assertEqual((warden.factor("ask", "s0"), warden.factor("ask", "s2")), (0.9, 1.0))
-        self.assertIn("started anew", warden.history[wave.number].state)
+        table_guard = world.managers["m0"].core.table_guard
+        self.assertEqual(table_guard.history.current, first)
+        self.assertEqual((table_guard.factor("ask", "s0"), table_guard.factor("ask", "s2")), (0.9, 1.0))
+        self.assertIn("started anew", table_guard.history[wave.number].state)
 
     def test_a_command_with_an_id_takes_effect_once_over_a_power_cut(self) -> None:
         world = Remembered()
         world.run(10, 5)
         answer = world.say("m0", "once id-1 set weight ask/s0 95%")
-        versions = len(world.managers["m0"].core.warden.history.all())
+        versions = len(world.managers["m0"].core.table_guard.history.all())
         manager = world.power_cut("m0")
         world.run(8, 5)
         self.assertEqual(world.say("m0", "once id-1 set weight ask/s0 95%"), answer)
-        self.assertEqual(len(manager.core.warden.history.all()), versions)
+        self.assertEqual(len(manager.core.table_guard.history.all()), versions)
         self.assertIn("taken by another command", world.say("m0", "once id-1 set weight ask/s0 50%"))
         self.assertIn("Commands_from_record: 1\n", world.say("m0", "show store"))
 
