--- a/rushladder/core/__init__.py
+++ b/rushladder/core/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts the decision module: clock, channel account, events in, wanted state out. Free of I/O."""
+"""Hosts the decision module: passes events in and derives the desired state of gateways. Does no I/O."""
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -1,10 +1,10 @@
-"""The host of one decision module: its orders become what each gateway should hold.
+"""Hosts the decision module and turns its orders into the desired state of each gateway.
 
-Events go in with `take`, the module answers with orders, and orders change shared tables, withdrawals and
-levels. A gateway that uses a changed table is noted as owed; its driver asks `message` for the commands
-between what it holds and what it should hold, and tells `answered` when they were carried out. Orders that
-follow each other before a message goes out fall together, so what waits is bounded by what can be wanted,
-not by how often it changed.
+`take` passes events to the module, which responds with orders that change shared tables, withdrawals and
+levels. Every gateway that uses a changed table is marked as pending. Its driver gets the commands that lead
+from the current to the desired state with `next_message`, and calls `message_applied` once they have
+succeeded. Orders issued before the next message are coalesced, so the backlog is bounded by the size of the
+desired state and not by the number of changes.
 """
 
 from __future__ import annotations
@@ -42,93 +42,94 @@
 from rushladder.runtime.grammar import Command
 
 LEVELS_MAP, RETRIES_MAP = "levels", "retries"
-PER_MILLE = 1000  # levels as a plain proxy compares them with a whole random number
+PER_MILLE = 1000  # a plain proxy compares the level with a random integer below 1000
 
 
 class SharedTable:
-    """One shared table: its lines as ordered, those the guard let through, and the whole weights from
-    them."""
+    """A table shared by gateways: its lines as ordered, as accepted by the guard, and as integer weights."""
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.lines, self.good = dict[Server, float](), dict[Server, float]()
+        self.lines, self.accepted_lines = dict[Server, float](), dict[Server, float]()
         self.gates = dict[Product, tuple[float, Retry]]()
         self.sessions = dict[GatewaySession, None]()
         self._rounded, self._scales = dict[tuple[Product, int], dict[Server, int]](), dict[Product, float]()
 
-    def weigh(self, server: Server, weight: float) -> None:
-        if weight:  # whatever it is: a bad figure is for the guard to refuse
+    def set_weight(self, server: Server, weight: float) -> None:
+        if weight:  # not validated here: the guard refuses invalid weights
             self.lines[server] = weight
         else:
             self.lines.pop(server, None)
 
     def accept(self) -> None:
-        """The lines as ordered stand from now on."""
-        self.good = dict(self.lines)
+        """Makes the ordered lines the accepted ones."""
+        self.accepted_lines = dict(self.lines)
         self._rounded.clear()
 
-    def rounded(
+    def rounded_weights(
         self,
         product: Product,
         version: int,
         factor: Callable[[str, str, int | None], float],
         ramp: Callable[[Server], float],
     ) -> dict[Server, int]:
-        """The whole weights of a product's lines under a version of the operators' factors; kept until
-        they change."""
-        found = self._rounded.get((product, version))
-        if found is None:
+        """The integer weights of a product's accepted lines under a version of the operators' factors.
+
+        Cached until the lines change; versions older than the one before are dropped.
+        """
+        weights = self._rounded.get((product, version))
+        if weights is None:
             lines = {
                 server: weight * factor(product.name, server.name, version)
-                for server, weight in self.good.items()
+                for server, weight in self.accepted_lines.items()
             }
             cold = {server for server in lines if ramp(server) < 1}
-            found, scale = round_pool(lines, cold, self._scales.get(product, 0.0))
+            weights, scale = round_pool(lines, cold, self._scales.get(product, 0.0))
             self._scales[product] = scale
             self._rounded = {key: kept for key, kept in self._rounded.items() if key[1] >= version - 1}
-            self._rounded[product, version] = found
-        return found
+            self._rounded[product, version] = weights
+        return weights
 
 
 class GatewaySession:
-    """One joined gateway: which tables it uses, what it holds, what it is owed, what is on its way."""
+    """A joined gateway: the tables it uses, its content, and its pending and unacknowledged updates."""
 
-    def __init__(self, gateway: Gateway, held: GatewayContent, pace: MessageCap) -> None:
-        self.gateway, self.held, self._pace = gateway, held, pace
+    def __init__(self, gateway: Gateway, held: GatewayContent, message_cap: MessageCap) -> None:
+        self.gateway, self.held, self._message_cap = gateway, held, message_cap
         self.tables = dict[Product, SharedTable]()
-        self.owed, self.pending_lines, self.urgent = dict[Product, None](), 0, False
-        self.gates_owed = False
-        self.marks, self.sent_marks = list[int](), list[int]()
+        self.pending_products, self.pending_lines, self.urgent = dict[Product, None](), 0, False
+        self.gates_pending = False
+        self.checkpoints, self.sent_checkpoints = list[int](), list[int]()
         self.sent_lines, self.sent_at = 0, 0
         self.messages = 0
 
-    def owe(self, product: Product, urgent: bool = False) -> None:
-        self.owed[product] = None
+    def mark_pending(self, product: Product, urgent: bool = False) -> None:
+        self.pending_products[product] = None
         self.pending_lines += 1
         self.urgent = self.urgent or urgent
 
     def due(self, now: int) -> int | None:
-        """When the next message may go, or None if nothing is owed or one is on its way."""
-        if self.sent_at or not (self.owed or self.gates_owed or self.marks):
+        """When the next message may be sent; None if nothing is pending or a message is unacknowledged."""
+        if self.sent_at or not (self.pending_products or self.gates_pending or self.checkpoints):
             return None
-        return self._pace.next(now, self.urgent)
+        return self._message_cap.next(now, self.urgent)
 
-    def went(self, now: int, lines: int) -> None:
+    def record_sent(self, now: int, lines: int) -> None:
         if lines:
-            self._pace.sent(now)
+            self._message_cap.sent(now)
             self.messages += 1
 
 
 @attrs.frozen
 class Message:
-    """What one gateway is sent next: server commands in a safe order, and the maps' whole new content."""
+    """The next update of a gateway: server commands in a safe order, and the full new content of the maps."""
 
     commands: tuple[Command, ...]
     maps: Mapping[str, Mapping[str, str]]
 
 
 class Core:
-    """One manager without its sockets. `now` of every call is its clock, in tenths of a millisecond."""
+    """One manager without its sockets. Every `now` is the manager's clock in tenths of a millisecond."""
 
     def __init__(
         self,
@@ -147,15 +148,25 @@
         gateways: Sequence[tuple[str, str, float]] = (),
     ) -> None:
         self._now, self.roster, self.products, self._channel = now, roster, products, channel
-        self._unit, self._cold_time = level_unit, guarantee.cold_time
+        self._level_unit, self._cold_time = level_unit, guarantee.cold_time
         self._tables, self.withdrawn = dict[int, SharedTable](), dict[Server, None]()
-        self.table_guard, self._changed = TableGuard(Random(seed).random, guard), dict[SharedTable, None]()
-        self._cold_from, self._gateways, self._held = guarantee.cold_from, tuple(gateways), frozenset[str]()
+        self.table_guard, self._changed_tables = (
+            TableGuard(Random(seed).random, guard),
+            dict[SharedTable, None](),
+        )
+        self._cold_from, self._gateways, self._held_gateways = (
+            guarantee.cold_from,
+            tuple(gateways),
+            frozenset[str](),
+        )
         self.sessions = dict[Gateway, GatewaySession]()
-        self._touched, self._ready = dict[GatewaySession, None](), dict[GatewaySession, None]()
+        self._touched_sessions, self._pending_sessions = (
+            dict[GatewaySession, None](),
+            dict[GatewaySession, None](),
+        )
         self._reminders = Reminders()
-        self.probes, self.peer_messages, self.notes = list[Server](), list[bytes](), list[str]()
-        self.apply_times = list[int]()  # order-to-applied times since they were last taken
+        self.probes, self.peer_messages, self.log_lines = list[Server](), list[bytes](), list[str]()
+        self.apply_times = list[int]()  # time from sending a message to its success; readers clear it
         self.manager = Manager(
             self,
             seed,
@@ -171,13 +182,13 @@
             slices=0,
         )
         for listed in roster.listed.values():
-            self._known(listed.server)
+            self._update_guard_server(listed.server)
         self.take(now, roster.full(ListKind.CACHED))
 
-    # What comes in.
+    # Input.
 
     def take(self, now: int, *events: Event) -> None:
-        """One batch of events; whatever reminders are due by `now` come first."""
+        """Passes one batch of events to the module, after the reminders that are due by `now`."""
         self._now = max(now, self._now)
         for reminder in self._reminders.due(self._now):
             self.manager.take(reminder)
@@ -186,21 +197,23 @@
             if isinstance(event, Listing):
                 self._listing(event)
         self.manager.close()
-        self._judge()
-        self._ready |= self._touched
-        self._touched.clear()
+        self._check_changed_tables()
+        self._pending_sessions |= self._touched_sessions
+        self._touched_sessions.clear()
 
     def take_pending_sessions(self) -> list[GatewaySession]:
-        """The gateways that something was ordered for since this was last called."""
-        ready, self._ready = list(self._ready), {}
-        return [session for session in ready if self.sessions.get(session.gateway) is session]
+        """The gateways that have received orders since the last call."""
+        pending, self._pending_sessions = list(self._pending_sessions), {}
+        return [session for session in pending if self.sessions.get(session.gateway) is session]
 
     def next_wake(self) -> int | None:
         return self._reminders.next()
 
     def add_gateway(self, gateway: Gateway, held: GatewayContent, capped: bool = True) -> GatewaySession:
-        """A gateway that this manager holds from now on; the caller gives the module its Joined with
-        `take`. capped: messages to it count, as they cross a socket."""
+        """Adds a gateway that this manager now holds; the caller passes the Joined event to `take`.
+
+        capped: whether the message cap applies; False for gateways that are not reached over a socket.
+        """
         self.remove_gateway(gateway)
         session = GatewaySession(
             gateway, held, MessageCap(self._channel.message_cap if capped else 0, self._channel.cap_span)
@@ -211,32 +224,32 @@
     def remove_gateway(self, gateway: Gateway) -> None:
         session = self.sessions.pop(gateway, None)
         if session is not None:
-            self.table_guard.left(gateway.name)
-            self._touched.pop(session, None)
-            self._ready.pop(session, None)
-            for tbl in session.tables.values():
-                tbl.sessions.pop(session, None)
-
-    def read_back(self, session: GatewaySession, held: GatewayContent) -> None:
-        """What the gateway really holds: all of it is owed again, as far as it differs."""
+            self.table_guard.remove_gateway(gateway.name)
+            self._touched_sessions.pop(session, None)
+            self._pending_sessions.pop(session, None)
+            for table in session.tables.values():
+                table.sessions.pop(session, None)
+
+    def reset_held_content(self, session: GatewaySession, held: GatewayContent) -> None:
+        """Records the content read from a gateway and marks all lines as pending; equal ones are not sent."""
         session.held = held
         session.sent_at, session.sent_lines = 0, 0
-        session.marks, session.sent_marks = session.sent_marks + session.marks, []
+        session.checkpoints, session.sent_checkpoints = session.sent_checkpoints + session.checkpoints, []
         for product in session.tables:
-            session.owe(product)
-        session.gates_owed = bool(session.tables)
+            session.mark_pending(product)
+        session.gates_pending = bool(session.tables)
 
-    def _judge(self) -> None:
-        """Each table that changed passes the guard whole, or stays as it was."""
-        changed, self._changed = self._changed, {}
+    def _check_changed_tables(self) -> None:
+        """Submits each changed table to the guard; one that is refused keeps its last accepted lines."""
+        changed, self._changed_tables = self._changed_tables, {}
         for table in changed:
             products = list(
                 dict.fromkeys(
-                    p for session in table.sessions for p, own in session.tables.items() if own is table
+                    p for session in table.sessions for p, bound in session.tables.items() if bound is table
                 )
             )
             if not products:
-                table.accept()  # nobody uses it yet: it is judged once somebody is bound to it
+                table.accept()  # unused so far: the guard checks it once a gateway is bound to it
                 continue
             lines = {
                 server.name: weight
@@ -244,66 +257,69 @@
                 if server.name in self.table_guard.projection.servers
             }
             zone = next(iter(table.sessions)).gateway.zone
-            if self.table_guard.table(str(table.number), products, zone, lines, self._now) is None:
+            if self.table_guard.check_table(str(table.number), products, zone, lines, self._now) is None:
                 table.accept()
 
     def update_guard_demand(self) -> None:
-        """The guard hears what comes to each table, as the module has measured it, and which limits are
-        its own."""
+        """Passes the measured demand of each table and this manager's limit shares to the guard."""
         held = frozenset(gateway.name for gateway in self.sessions)
-        if self._gateways and held != self._held:
-            self._held = held
+        if self._gateways and held != self._held_gateways:
+            self._held_gateways = held
             servers = {
                 name: listed.server.zone for name, listed in self.roster.listed.items() if listed.limit
             }
-            self.table_guard.allot(limit_shares(servers, self._gateways, held))
+            self.table_guard.set_limit_shares(limit_shares(servers, self._gateways, held))
         sums = dict[tuple[SharedTable, Product], float]()
         for session in self.sessions.values():
             for product, table in session.tables.items():
-                many, covers = session.gateway.came[product].total(self._now, 4)
-                rate = 10_000 * many / covers if covers else session.gateway.usual_rate / len(self.products)
+                count, covered = session.gateway.came[product].total(self._now, 4)
+                rate = (
+                    10_000 * count / covered if covered else session.gateway.usual_rate / len(self.products)
+                )
                 level = (
-                    table.gates.get(product, (1.0, Retry.UNSENT))[0] if self._unit is LevelUnit.RATIO else 1.0
+                    table.gates.get(product, (1.0, Retry.UNSENT))[0]
+                    if self._level_unit is LevelUnit.RATIO
+                    else 1.0
                 )
                 sums[table, product] = sums.get((table, product), 0.0) + min(1.0, level) * rate
         for (table, product), rate in sums.items():
             zone = next(iter(table.sessions)).gateway.zone
-            self.table_guard.demand(str(table.number), product, zone, rate, self._now)
+            self.table_guard.update_demand(str(table.number), product, zone, rate, self._now)
 
-    def evaluate_wave(self, met: Mapping[str, Sequence[Arm]]) -> Effect:
-        """A period of the wave that is out; gateways that its verdict concerns are owed their lines."""
-        effect = self.table_guard.period(met, self._now)
+    def evaluate_wave(self, arms: Mapping[str, Sequence[Arm]]) -> Effect:
+        """Evaluates one period of the wave in progress; marks all gateways as pending if the wave changes."""
+        effect = self.table_guard.end_period(arms, self._now)
         if effect in (Effect.WIDEN, Effect.UNDO):
             self.mark_all_pending()
         return effect
 
     def gateways_using(self, keys: Collection[tuple[str, str]]) -> list[str]:
         """The gateways whose tables name one of the (product, server) pairs."""
-        found = list[str]()
+        names = list[str]()
         for session in self.sessions.values():
-            names = {
+            pairs = {
                 (product.name, server.name)
                 for product, table in session.tables.items()
-                for server in table.good
+                for server in table.accepted_lines
             }
-            if not names.isdisjoint(keys):
-                found.append(session.gateway.name)
-        return found
+            if not pairs.isdisjoint(keys):
+                names.append(session.gateway.name)
+        return names
 
     def mark_all_pending(self) -> None:
-        """Every gateway's lines may differ from what it holds; a message is only sent where they do."""
+        """Marks all lines of all gateways as pending; a message is only sent where they differ."""
         for session in self.sessions.values():
             for product in session.tables:
-                session.owe(product)
-            self._ready[session] = None
+                session.mark_pending(product)
+            self._pending_sessions[session] = None
 
-    def _known(self, server: Server) -> None:
-        """The guard's view of a server."""
+    def _update_guard_server(self, server: Server) -> None:
+        """Updates the guard's record of a server."""
         listed = self.roster.listed.get(server.name)
         if listed is None or listed.server is not server:
-            return self.table_guard.forget(server.name)
+            return self.table_guard.remove_server(server.name)
         ready = listed.availability is Availability.READY and server not in self.withdrawn
-        self.table_guard.server(
+        self.table_guard.update_server(
             server.name,
             server.zone,
             server.model,
@@ -317,29 +333,34 @@
 
     def _listing(self, event: Listing[Any]) -> None:
         for entry in event.entries:
-            self._known(entry.worker)
+            self._update_guard_server(entry.worker)
         known = {entry.worker for entry in event.entries}
         for server in [
             server
             for server in self.withdrawn
             if server not in known and server.name not in self.roster.listed
         ]:
-            if not any(server in tbl.lines for tbl in self._tables.values()):
-                del self.withdrawn[server]  # off the list and in no table: nothing is left to withdraw
+            if not any(server in table.lines for table in self._tables.values()):
+                del self.withdrawn[server]  # unlisted and in no table: no longer needed
 
-    # What goes out.
+    # Output.
 
     def ramp(self, server: Server) -> float:
-        """1 once a server is warm by the list; less before (only whether it is below 1 is used)."""
+        """1.0 for a server that is warm according to the list, less for a cold one.
+
+        Callers only compare the result with 1.
+        """
         age = self._now - server.started_at
         return 1.0 if not server.started_at or age >= self._cold_time else age / self._cold_time
 
     def desired_lines(self, session: GatewaySession, product: Product) -> dict[Key, Line]:
-        """The lines that the gateway should hold for a product, with 0 for what it holds beyond its table."""
-        tbl = session.tables[product]
+        """The lines that the gateway should hold for a product; lines not in its table get weight 0."""
+        table = session.tables[product]
         lines = dict[Key, Line]()
         version = self.table_guard.version_of(session.gateway.name)
-        for server, weight in tbl.rounded(product, version, self.table_guard.factor, self.ramp).items():
+        for server, weight in table.rounded_weights(
+            product, version, self.table_guard.factor, self.ramp
+        ).items():
             listed = self.roster.listed.get(server.name)
             if listed is not None and listed.server is server:
                 lines[product.name, server.name] = Line(
@@ -348,77 +369,92 @@
         for (backend, name), line in session.held.lines.items():
             if backend == product.name and (backend, name) not in lines:
                 known = self.roster.listed.get(name)
-                out = known is None or known.server in self.withdrawn
-                admin = AdminState.DRAIN if out and line.admin is AdminState.READY else line.admin
+                withdrawn = known is None or known.server in self.withdrawn
+                admin = AdminState.DRAIN if withdrawn and line.admin is AdminState.READY else line.admin
                 lines[backend, name] = Line(line.address, 0, admin)
         return lines
 
     def next_message(self, now: int, session: GatewaySession) -> Message:
-        """Takes what the gateway is owed. It is on its way until `answered` or `read_back`."""
+        """Takes the pending updates of a gateway.
+
+        The message counts as unacknowledged until `message_applied` or `reset_held_content` is called.
+        """
         self._now = max(now, self._now)
         lines = dict[Key, Line]()
-        for product in session.owed:
+        for product in session.pending_products:
             lines |= self.desired_lines(session, product)
         named = (self.roster.listed.get(server) for _, server in lines)
-        cold = {one.server.name for one in named if one is not None and self.ramp(one.server) < 1}
+        cold = {listed.server.name for listed in named if listed is not None and self.ramp(listed.server) < 1}
         commands = server_commands(session.held.lines, lines, cold)
         maps = {
             name: entries
             for name, entries in self.maps(session).items()
-            if session.gates_owed and session.held.maps.get(name) != entries and entries
+            if session.gates_pending and session.held.maps.get(name) != entries and entries
         }
-        session.sent_marks, session.marks = session.marks, []
-        session.owed, session.gates_owed, session.urgent, session.pending_lines = {}, False, False, 0
+        session.sent_checkpoints, session.checkpoints = session.checkpoints, []
+        session.pending_products, session.gates_pending, session.urgent, session.pending_lines = (
+            {},
+            False,
+            False,
+            0,
+        )
         session.sent_lines = len(commands) + sum(len(entries) + 2 for entries in maps.values())
         session.sent_at = max(1, self._now)
-        session.went(now, session.sent_lines)
+        session.record_sent(now, session.sent_lines)
         return Message(tuple(commands), maps)
 
     def sweep(self, session: GatewaySession) -> list[Command]:
-        """Commands that rid a gateway of servers that are off the list; none while it is owed something."""
-        if session.sent_at or session.owed:
+        """Commands that remove unlisted servers from a gateway; empty while updates are pending."""
+        if session.sent_at or session.pending_products:
             return []
-        used = {(p.name, server.name) for p, tbl in session.tables.items() for server in tbl.lines}
+        used = {(p.name, server.name) for p, table in session.tables.items() for server in table.lines}
         return sweep_commands(session.held.lines, self.roster.listed, used)
 
     def maps(self, session: GatewaySession) -> dict[str, dict[str, str]]:
         levels, retries = dict[str, str](), dict[str, str]()
-        for product, tbl in session.tables.items():
-            if product in tbl.gates:
-                level, retry = tbl.gates[product]
+        for product, table in session.tables.items():
+            if product in table.gates:
+                level, retry = table.gates[product]
                 levels[product.name] = self.format_level(level)
                 retries[product.name] = str(int(retry))
         return {LEVELS_MAP: levels, RETRIES_MAP: retries}
 
     def format_level(self, level: float) -> str:
-        """A level as the map holds it: per mille, or txns a second with up to three decimals."""
-        return str(round(PER_MILLE * level)) if self._unit is not LevelUnit.RATE else f"{level:.3f}"
+        """A level as written to the map: per mille, or txns a second with three decimals."""
+        return str(round(PER_MILLE * level)) if self._level_unit is not LevelUnit.RATE else f"{level:.3f}"
 
     def message_applied(self, now: int, session: GatewaySession) -> None:
-        """The message on its way was carried out. The module hears of its marks with the next batch."""
+        """Records that the last message has been applied, and reports its checkpoints to the module."""
         elapsed = max(0, now - session.sent_at)
         if session.sent_lines:
             self.apply_times.append(elapsed)
-            del self.apply_times[:-1000]  # enough for percentiles of a minute
-        marks, session.sent_marks, session.sent_lines, session.sent_at = session.sent_marks, [], 0, 0
-        if marks:
-            self.take(now, *(Applied(session.gateway, mark, elapsed) for mark in marks))
+            del self.apply_times[:-1000]  # enough for the percentiles of one minute
+        checkpoints, session.sent_checkpoints, session.sent_lines, session.sent_at = (
+            session.sent_checkpoints,
+            [],
+            0,
+            0,
+        )
+        if checkpoints:
+            self.take(now, *(Applied(session.gateway, checkpoint, elapsed) for checkpoint in checkpoints))
 
     def line_counts(self) -> tuple[int, int]:
-        """Lines ordered and not sent, and lines sent and not answered, over all gateways."""
+        """The lines ordered but not sent, and those sent but not acknowledged, summed over all gateways."""
         sessions = self.sessions.values()
         return sum(session.pending_lines for session in sessions), sum(
             session.sent_lines for session in sessions
         )
 
-    # The module's orders.
+    # Orders of the decision module (the Host interface).
 
-    def _owe(self, tbl: SharedTable, products: Sequence[Product] | None = None, urgent: bool = False) -> None:
-        for session in tbl.sessions:
-            self._touched[session] = None
-            for product, own in session.tables.items():
-                if own is tbl and (products is None or product in products):
-                    session.owe(product, urgent)
+    def _mark_table_pending(
+        self, table: SharedTable, products: Sequence[Product] | None = None, urgent: bool = False
+    ) -> None:
+        for session in table.sessions:
+            self._touched_sessions[session] = None
+            for product, bound in session.tables.items():
+                if bound is table and (products is None or product in products):
+                    session.mark_pending(product, urgent)
 
     def _table(self, number: int) -> SharedTable:
         return self._tables.setdefault(number, SharedTable(number))
@@ -429,33 +465,33 @@
     def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
-        table.weigh(worker, weight)
-        self._changed[table] = None
-        self._owe(table)
+        table.set_weight(worker, weight)
+        self._changed_tables[table] = None
+        self._mark_table_pending(table)
 
     def empty(self, tbl: int) -> None:
         table = self._table(tbl)
         for server in list(table.lines):
-            table.weigh(server, 0.0)
+            table.set_weight(server, 0.0)
         table.gates.clear()
-        self._changed[table] = None
-        self._owe(table)
+        self._changed_tables[table] = None
+        self._mark_table_pending(table)
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
         assert isinstance(proxy, Gateway)
         session, table = self.sessions.get(proxy), self._table(tbl)
         if session is None:
             return
-        self._touched[session] = None
+        self._touched_sessions[session] = None
         for product in products or self.products:
             before = session.tables.get(product)
             session.tables[product] = table
             if before is not None and before is not table and before not in session.tables.values():
                 before.sessions.pop(session, None)
-            session.owe(product, urgent=True)
+            session.mark_pending(product, urgent=True)
         table.sessions[session] = None
-        self._changed[table] = None
-        session.gates_owed = True
+        self._changed_tables[table] = None
+        session.gates_pending = True
 
     def hold_back(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
@@ -463,36 +499,38 @@
             self.withdrawn[worker] = None
         else:
             self.withdrawn.pop(worker, None)
-        self._known(worker)
+        self._update_guard_server(worker)
         for table in self._tables.values():
             if worker in table.lines:
-                self._owe(table, urgent=out)
+                self._mark_table_pending(table, urgent=out)
         for session in self.sessions.values() if out else ():
-            for product in session.tables:  # lines of an earlier holder's, not in its table any more
+            for product in session.tables:  # lines left by an earlier holder that are no longer in its table
                 if (product.name, worker.name) in session.held.lines:
-                    self._touched[session] = None
-                    session.owe(product, urgent=True)
+                    self._touched_sessions[session] = None
+                    session.mark_pending(product, urgent=True)
 
     def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
-        """What a gateway holds is read back, and differs until it is as wanted."""
+        """Does nothing: withdrawals left at a gateway are found when its content is read back."""
 
     def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for table in self._tables.values() if tbl is None else (self._table(tbl),):
             for product in products or self.products:
                 zone = next(iter(table.sessions)).gateway.zone if table.sessions else ""
                 if (
-                    self.table_guard.gate(str(table.number), product, zone, level, int(retry), self._now)
+                    self.table_guard.check_gate(
+                        str(table.number), product, zone, level, int(retry), self._now
+                    )
                     is None
                 ):
                     table.gates[product] = level, retry
             for session in table.sessions:
-                self._touched[session] = None
-                session.gates_owed = True
+                self._touched_sessions[session] = None
+                session.gates_pending = True
                 session.pending_lines += 1
 
     def checkpoint(self, number: int, everyone: bool) -> None:
-        for session in self.sessions.values() if everyone else self._touched:
-            session.marks.append(number)
+        for session in self.sessions.values() if everyone else self._touched_sessions:
+            session.checkpoints.append(number)
 
     def probe(self, worker: Worker) -> None:
         assert isinstance(worker, Server)
@@ -502,14 +540,14 @@
         self.peer_messages.append(data)
 
     def watch(self, on: bool) -> None:
-        """The list comes by itself here: every change is told at once."""
+        """Does nothing: changes of the list are always reported at once."""
 
     def ask_list(self) -> None:
-        """As for `watch`."""
+        """Does nothing, as `watch`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
 
     def log(self, words: str) -> None:
-        self.notes.append(words)
-        del self.notes[:-100]
+        self.log_lines.append(words)
+        del self.log_lines[:-100]
--- a/rushladder/core/message_cap.py
+++ b/rushladder/core/message_cap.py
@@ -1,5 +1,5 @@
-"""The message cap (rule 5): so many messages to one gateway within a span, the last ones kept for what
-can't wait."""
+"""The message cap (rule 5): limits the messages to one gateway per time span, with some reserved for
+withdrawals."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 
 
 class MessageCap:
-    """The times of the last messages to one gateway; it keeps no more than the cap allows.
+    """A sliding-window rate limiter; keeps the send times of at limit `cap` messages.
 
-    cap: messages within `span` (tenths of a millisecond); 0: no such limit.
+    cap: the maximum of messages within `span` (tenths of a millisecond); 0: unlimited.
     """
 
-    SPARE = 2  # kept for withdrawals: one at once, and one that follows it before the first is a span old
+    # Messages reserved for withdrawals: one sent at once, and one that follows before the first has expired.
+    RESERVED = 2
 
     def __init__(self, cap: int, span: int) -> None:
         self._cap, self._span = cap, span
         self._sent = deque[int](maxlen=cap or 1)
 
     def next(self, now: int, urgent: bool) -> int:
-        """When the next message may go: `now`, or the time at which the cap allows it."""
+        """The earliest time at which the next message may be sent."""
         if not self._cap:
             return now
-        most = self._cap if urgent else max(1, self._cap - self.SPARE)
-        if len(self._sent) < most:
+        limit = self._cap if urgent else max(1, self._cap - self.RESERVED)
+        if len(self._sent) < limit:
             return now
-        return max(now, self._sent[-most] + self._span + 1)
+        return max(now, self._sent[-limit] + self._span + 1)
 
     def sent(self, now: int) -> None:
         self._sent.append(now)
--- a/rushladder/core/reminders.py
+++ b/rushladder/core/reminders.py
@@ -1,4 +1,4 @@
-"""The reminders that a module asked for, by the time at which they are due."""
+"""The reminders that a decision module has requested, ordered by due time."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 
 
 class Reminders:
+    """A priority queue of reminders."""
+
     def __init__(self) -> None:
         self._due, self._order = list[tuple[int, int, int]](), count()
 
@@ -17,7 +19,7 @@
         heapq.heappush(self._due, (at, next(self._order), token))
 
     def due(self, now: int) -> Iterator[Reminder]:
-        """Those due by `now`, in the order of their times, then of their asking."""
+        """Removes and yields the reminders due by `now`, by due time and then in the order of request."""
         while self._due and self._due[0][0] <= now:
             yield Reminder(heapq.heappop(self._due)[2])
 
--- a/rushladder/core/roster.py
+++ b/rushladder/core/roster.py
@@ -1,4 +1,4 @@
-"""The list of collectors as the operators' runtime commands and the configuration tell it."""
+"""The list of collectors, as defined by the configuration and by operators' runtime commands."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from rushladder.interface import Availability, Entry, Listing, ListKind
 from rushladder.records import Server
 
-MOST = 10_000  # collectors: ten times the largest deployment wished for
+MAX_SERVERS = 10_000  # ten times the largest planned deployment
 HEADER = "# rushladder list 1"
 
 
 class RosterError(Exception):
-    """What a change of the list can't be carried out for, in the runtime API's words."""
+    """A change of the list that is refused; the text is the runtime API's answer."""
 
 
 @attrs.define(eq=False)
-class Listed:
-    """One collector: the module's object, where it answers, and what is said of it. Times: tenths of a ms."""
+class ListedServer:
+    """One collector: the decision module's object, its address and listed state. Times: tenths of a ms."""
 
     server: Server
     address: str
     size: float
     availability: Availability
     started_at: int
-    limit: float = 0.0  # txns a second, stated; 0: none
+    limit: float = 0.0  # stated limit in txns a second; 0: none
     connections: int = 0
 
 
 class Roster:
-    """Who exists. Each change that changes something gives the module one event, and a higher version."""
+    """The collectors that exist. Each effective change raises the version and gives the module one event."""
 
     def __init__(self) -> None:
-        self.listed = dict[str, Listed]()
+        self.listed = dict[str, ListedServer]()
         self.version = 0
 
-    def __getitem__(self, name: str) -> Listed:
+    def __getitem__(self, name: str) -> ListedServer:
         if name not in self.listed:
             raise RosterError("No such server.")
         return self.listed[name]
@@ -55,14 +55,17 @@
         limit: float = 0.0,
         connections: int = 0,
     ) -> None:
-        """A new collector, ready. The same again changes nothing. Raises RosterError if the name is taken."""
+        """Adds a collector in state ready; adding the same again changes nothing.
+
+        Raises RosterError if the name or address belongs to another collector, or the list is full.
+        """
         known = self.listed.get(name)
         if known is None:
-            if len(self.listed) >= MOST:
-                raise RosterError(f"The list is full; {MOST} servers are allowed.")
+            if len(self.listed) >= MAX_SERVERS:
+                raise RosterError(f"The list is full; {MAX_SERVERS} servers are allowed.")
             if any(other.address == address for other in self.listed.values()):
                 raise RosterError("Another server has this address.")
-            self.listed[name] = Listed(
+            self.listed[name] = ListedServer(
                 Server(name, region, model, cell),
                 address,
                 size,
@@ -76,7 +79,7 @@
             raise RosterError("Already exists a server with the same name.")
 
     def remove(self, name: str) -> Listing[Server]:
-        """Takes a collector off the list; like a plain proxy, only one in maintenance. Raises RosterError."""
+        """Removes a collector; like a plain proxy, only one in maintenance mode. Raises RosterError."""
         known = self[name]
         if known.availability is not Availability.GONE:
             raise RosterError("Only servers in maintenance mode can be deleted.")
@@ -87,7 +90,10 @@
     def change(
         self, name: str, now: int, availability: Availability | None = None, size: float | None = None
     ) -> Listing[Server] | None:
-        """What changed, or None if nothing did. One that comes back from being gone has started anew."""
+        """Changes a collector and returns the event, or None if nothing changed.
+
+        A collector that returns from maintenance counts as restarted.
+        """
         known = self[name]
         before = (known.availability, known.size)
         if availability is Availability.READY and known.availability is Availability.GONE:
@@ -100,7 +106,7 @@
         return self.listing_of(name)
 
     def listing_of(self, name: str) -> Listing[Server]:
-        """The event that tells of one collector as it stands."""
+        """The event with the present state of one collector."""
         return Listing(ListKind.CHANGES, self.version, [self._entry(self[name])])
 
     def full(self, kind: ListKind = ListKind.FULL) -> Listing[Server]:
@@ -114,41 +120,41 @@
             ],
         )
 
-    def _entry(self, known: Listed) -> Entry[Server]:
+    def _entry(self, known: ListedServer) -> Entry[Server]:
         return Entry(known.server, known.availability, known.size, known.started_at)
 
-    # The list as it survives a restart: lines of text, the last one a checksum over the others.
+    # Serialization for restarts: lines of text, the last of which is a checksum of the others.
 
     def dump(self, now: int) -> str:
-        """All collectors; starts as ages, since clocks of two lives have nothing in common."""
+        """Serializes all collectors; start times are stored as ages, as two incarnations share no clock."""
         rows = [HEADER] + [
             " ".join(
                 (
                     name,
-                    one.server.zone,
-                    one.server.model,
-                    str(one.server.cell),
-                    repr(one.size),
-                    one.address,
-                    one.availability.name,
-                    str(now - one.started_at if one.started_at else -1),
+                    listed.server.zone,
+                    listed.server.model,
+                    str(listed.server.cell),
+                    repr(listed.size),
+                    listed.address,
+                    listed.availability.name,
+                    str(now - listed.started_at if listed.started_at else -1),
                 )
             )
-            for name, one in self.listed.items()
+            for name, listed in self.listed.items()
         ]
         text = "\n".join(rows) + "\n"
         return text + f"# crc {zlib.crc32(text.encode()):08x}\n"
 
-    def load(self, text: str, now: int, away: int) -> bool:
-        """Takes in a dump written `away` ago; False (and nothing taken) if it is not whole."""
+    def load(self, text: str, now: int, downtime: int) -> bool:
+        """Loads a dump written `downtime` ago; returns False and changes nothing if it is damaged."""
         body, _, last = text.rstrip("\n").rpartition("\n")
         body += "\n"
         if not body.startswith(HEADER + "\n") or last != f"# crc {zlib.crc32(body.encode()):08x}":
             return False
         for row in _rows(body):
             name, region, model, cell, size, address, availability, age = row
-            started = now - int(age) - away if int(age) >= 0 else 0
-            self.listed[name] = Listed(
+            started = now - int(age) - downtime if int(age) >= 0 else 0
+            self.listed[name] = ListedServer(
                 Server(name, region, model, int(cell)),
                 address,
                 float(size),
--- a/rushladder/core/workers.py
+++ b/rushladder/core/workers.py
@@ -1,4 +1,4 @@
-"""The module's objects for workers by their names: one object a name for as long as anybody holds it."""
+"""The decision module's worker objects by name: one object per name for as long as it is referenced."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 
 
 class Workers:
-    """Shared by every road. A worker that the module, the tables and the list have all let go is forgotten
-    here too, so that names which come and go for months take no memory."""
+    """Maps worker names to shared objects through weak references.
+
+    Every input of the process uses the same instance. A worker that the module, the tables and the list no
+    longer reference is dropped, so that changing names do not accumulate in memory over months.
+    """
 
     def __init__(self) -> None:
         self._by_name = WeakValueDictionary[str, Server]()
@@ -31,7 +34,7 @@
         size: float,
         started_at: int,
     ) -> Entry[Server]:
-        """An entry of the list. `started_at`: tenths of a millisecond on the host's clock; 0: long ago."""
+        """Builds a list entry. `started_at`: tenths of a millisecond on the host's clock; 0: long ago."""
         worker = self._by_name.get(name)
         if worker is None:
             worker = self._by_name[name] = Server(name, zone, model, cell)
