--- a/rushladder/gateways/diff.py
+++ b/rushladder/gateways/diff.py
@@ -1,9 +1,8 @@
-"""From what a gateway holds to what it should hold: the commands between the two, in an order that is safe
-at each step.
+"""Computes the commands that bring a gateway from its current to its desired content.
 
-What adds goes before what takes away, so that a pool is empty at no step (rule 1); what is cold is raised
-last, when the others carry their parts already (rule 4). Every command names the wanted state, so that
-repeating it is harmless.
+Every intermediate state is safe: additions precede removals, so that no pool is empty at any step (rule 1),
+and cold servers are raised last, when the warm ones already carry their shares (rule 4). All commands set
+absolute values, so repeating one is harmless.
 """
 
 from __future__ import annotations
@@ -19,6 +18,8 @@
 
 
 class AdminState(Enum):
+    """The administrative state of a server, as `set server ... state` takes it."""
+
     READY = "ready"
     DRAIN = "drain"
     MAINT = "maint"
@@ -26,7 +27,7 @@
 
 @attrs.frozen
 class Line:
-    """One server of one backend, as the gateway holds it or should hold it."""
+    """One server of a backend in the current or desired content of a gateway."""
 
     address: str  # ADDRESS:PORT
     weight: int
@@ -35,7 +36,7 @@
 
 @attrs.define
 class GatewayContent:
-    """What a gateway holds: its lines, and the two maps as they were last committed."""
+    """The content of a gateway: its lines, and its two maps as last committed."""
 
     lines: dict[Key, Line] = attrs.field(factory=dict)
     maps: dict[str, dict[str, str]] = attrs.field(factory=dict)
@@ -44,12 +45,12 @@
 MAINT_BITS, DRAIN_BITS = (
     0x01 | 0x02 | 0x04 | 0x20 | 0x40,
     0x08 | 0x10,
-)  # srv_admin_state: forced, inherited, by config
+)  # of srv_admin_state: forced, inherited, from the configuration
 
 
 def read_lines(answer: str) -> dict[Key, Line]:
-    """The lines of `show servers state`. Rows that lack a column are passed over."""
-    found = dict[Key, Line]()
+    """Parses the answer to `show servers state`. Rows with missing or invalid columns are skipped."""
+    lines = dict[Key, Line]()
     for row in table(answer, None):
         try:
             bits = int(row["srv_admin_state"])
@@ -60,16 +61,16 @@
                 if bits & DRAIN_BITS
                 else AdminState.READY
             )
-            found[row["be_name"], row["srv_name"]] = Line(
+            lines[row["be_name"], row["srv_name"]] = Line(
                 f"{row['srv_addr']}:{row['srv_port']}", int(row["srv_uweight"]), admin
             )
         except (KeyError, ValueError):
             continue
-    return found
+    return lines
 
 
 def read_map(answer: str) -> dict[str, str]:
-    """The entries of `show map NAME`: a reference, a key and a value a line."""
+    """Parses the answer to `show map NAME`: each line has a reference, a key and a value."""
     rows = (line.split(None, 2) for line in answer.splitlines())
     return {row[1]: row[2] for row in rows if len(row) == 3}
 
@@ -77,15 +78,14 @@
 def server_commands(
     held: Mapping[Key, Line], wanted: Mapping[Key, Line], cold: Collection[str]
 ) -> list[Command]:
-    """The commands that bring the wanted keys to their lines; keys that are not wanted stay as they are.
+    """The commands that set the wanted keys to their lines; other keys are left unchanged.
 
-    cold: the servers that are raised last. A line that is not there yet is only added if it is to carry
-    something.
+    cold: the servers that are raised last. A missing line is only added if it is to receive traffic.
     """
-    adds, ups, drains, downs, late = (list[Command]() for _ in range(5))
-    # Where nothing warm will carry a pool, its cold lines can't wait for the end: it would be empty
-    # meanwhile.
-    carried = {
+    adds, raises, drains, lowers, cold_raises = (list[Command]() for _ in range(5))
+    # The backends that keep a warm line throughout. In others, raising the cold lines last would leave the
+    # pool empty in between.
+    served = {
         key[0]
         for lines in (wanted, held)
         for key, line in lines.items()
@@ -95,59 +95,58 @@
         and wanted.get(key, line) == line
     }
     for key, line in wanted.items():
-        have, name = held.get(key), "/".join(key)
-        if have is None:
+        current, name = held.get(key), "/".join(key)
+        if current is None:
             if not line.weight or line.admin is not AdminState.READY:
                 continue
-            # A server that is added starts in maintenance with weight 0: it carries nothing before it is
-            # released.
+            # A server is added in maintenance mode with weight 0, so it gets no traffic before it is enabled.
             adds.append(Command(("add", "server", name, line.address, "weight", "0")))
-            have = Line(line.address, 0, AdminState.MAINT)
-        elif have.address != line.address:
+            current = Line(line.address, 0, AdminState.MAINT)
+        elif current.address != line.address:
             host, port = line.address.rsplit(":", 1)
             adds.append(Command(("set", "server", name, "addr", host, "port", port)))
         weight = Command(("set", "server", name, "weight", str(line.weight)))
         state = Command(("set", "server", name, "state", line.admin.value))
-        rises = line.weight > have.weight
+        raised = line.weight > current.weight
         if line.admin is not AdminState.READY:
-            drains += [state] if line.admin is not have.admin else []
-            downs += [weight] if line.weight != have.weight else []
+            drains += [state] if line.admin is not current.admin else []
+            lowers += [weight] if line.weight != current.weight else []
         else:
-            group = late if key[1] in cold and key[0] in carried else ups
-            if line.weight != have.weight:
-                (group if rises or have.admin is not AdminState.READY else downs).append(weight)
-            group += [state] if have.admin is not AdminState.READY else []
-    return adds + ups + drains + downs + late
+            group = cold_raises if key[1] in cold and key[0] in served else raises
+            if line.weight != current.weight:
+                (group if raised or current.admin is not AdminState.READY else lowers).append(weight)
+            group += [state] if current.admin is not AdminState.READY else []
+    return adds + raises + drains + lowers + cold_raises
 
 
 def sweep_commands(held: Mapping[Key, Line], listed: Collection[str], used: Collection[Key]) -> list[Command]:
-    """Takes servers that nobody lists any more, and no table uses, out of a gateway: first maintenance,
-    then away.
+    """The commands that remove servers which are neither listed nor used by a table.
 
-    Two steps in two readings: a gateway refuses to delete a server that still has connections, and one that
-    was only just drained may have txns in hand. Backends' other servers are left alone.
+    A server is first put in maintenance mode and deleted in a later sweep: a gateway refuses to delete one
+    that still has connections, and a server that was just drained may have txns in progress. Other servers
+    are left unchanged.
     """
-    found = list[Command]()
+    commands = list[Command]()
     for key, line in held.items():
         if key[1] in listed or key in used or line.weight:
             continue
         name = "/".join(key)
         if line.admin is AdminState.MAINT:
-            found.append(Command(("del", "server", name)))
+            commands.append(Command(("del", "server", name)))
         else:
-            found.append(Command(("set", "server", name, "state", "maint")))
-    return found
+            commands.append(Command(("set", "server", name, "state", "maint")))
+    return commands
 
 
 def map_commands(name: str, version: str, entries: Mapping[str, str]) -> list[Command]:
-    """A map's new content, applied in one step: entries of a prepared version, and its commit."""
+    """The commands that fill a prepared version of a map and commit it, which replaces the map atomically."""
     return [Command(("add", "map", f"@{version}", name, key, value)) for key, value in entries.items()] + [
         Command(("commit", "map", f"@{version}", name))
     ]
 
 
 def apply_commands(held: dict[Key, Line], commands: Iterable[Command]) -> None:
-    """Notes in `held` what answered commands have changed."""
+    """Records the effect of successful commands in `held`."""
     for command in commands:
         words = command.words
         if words[:2] not in (("set", "server"), ("add", "server"), ("del", "server")):
--- a/rushladder/gateways/election.py
+++ b/rushladder/gateways/election.py
@@ -1,10 +1,10 @@
-"""Who holds a gateway: one manager at a time, told by a word in a variable of the gateway's process.
+"""Elects the manager that holds a gateway, by means of a record in a variable of the gateway's process.
 
-The word is `epoch/manager/region/beat`. A holder raises the beat at each reading; a manager that sees the
-beat stand still for the takeover time claims the gateway with the next epoch, waits until its claim has
-settled, and holds it once it reads its own word back. The highest epoch wins; a lower one that comes late
-is written over and what its author may have ordered is undone. Nothing is assumed of clocks but that each
-runs at its own even pace.
+The record is `epoch/manager/region/heartbeat`. The holder increments the heartbeat at each reading. A manager
+that sees an unchanged record for the takeover time claims the gateway with the next epoch, waits until the
+claim has settled, and holds the gateway once it reads its own record back. The highest epoch wins; a record
+with a lower epoch that arrives late is overwritten, and what its author may have ordered is reverted. Clocks
+need not agree; each only has to run at a constant rate.
 """
 
 from __future__ import annotations
@@ -17,68 +17,74 @@
 
 
 @attrs.frozen
-class Word:
-    """What stands in the gateway's variable."""
+class HolderRecord:
+    """The content of the gateway's variable."""
 
     epoch: int
     manager: str
     region: str
-    beat: int
+    heartbeat: int
 
     def __str__(self) -> str:
-        return f"{self.epoch}/{self.manager}/{self.region}/{self.beat}"
+        return f"{self.epoch}/{self.manager}/{self.region}/{self.heartbeat}"
 
 
-def read_word(text: str) -> Word | None:
-    """The word of a variable's text, or None where none (or none of ours) stands there."""
+def parse_holder_record(text: str) -> HolderRecord | None:
+    """Parses the text of the variable; returns None if it is empty or has another format."""
     match = re.fullmatch(r"(\d{1,15})/([\w.:\-]{1,64})/([\w.:\-]{1,64})/(\d{1,15})", text)
-    return Word(int(match[1]), match[2], match[3], int(match[4])) if match else None
+    return HolderRecord(int(match[1]), match[2], match[3], int(match[4])) if match else None
 
 
 class HolderState(Enum):
+    """The state of one manager towards one gateway."""
+
     AWAY = "no connection"
-    WATCHING = "another holds it, or nobody yet"
-    CLAIMING = "own claim written, not yet settled"
+    WATCHING = "held by another manager or by none yet"
+    CLAIMING = "claim written, not yet settled"
     HOLDING = "held"
-    REPLACED = "a later process of this manager's name holds it: nothing is sent any more"
+    REPLACED = "held by a later process of the same name; this one sends nothing any more"
+
 
+class Observation(Enum):
+    """What a reading of the variable, or the loss of the connection, means for this manager."""
 
-class Sign(Enum):
-    LOST = "the connection broke"
-    FREE = "nobody's word stands there"
-    MINE = "the own word"
-    SETTLED = "the own word, long enough to be sure"
-    OTHERS = "another's word, alive and not to be challenged"
-    SILENT = "another's word that has stood still for the takeover time"
-    FOREIGN = "a manager of another region holds a gateway of the own"
-    STALE = "another's word of a lower epoch than the own"
-    REPLACED = "the own name with a higher epoch, which this process never gave"
+    DISCONNECTED = "the connection was lost"
+    FREE = "there is no record, or one of an earlier incarnation of this manager"
+    OWN = "own record, not yet settled"
+    SETTLED = "own record, written at least the settle time ago"
+    OTHER = "record of another live manager that is not to be challenged"
+    SILENT = "record of another manager, unchanged for the takeover time"
+    OTHER_REGION = "a manager of another region holds a gateway of this manager's region"
+    STALE = "record of another manager with a lower epoch"
+    REPLACED = "own name with a higher epoch, which this process never used"
 
 
 class Effect(Enum):
-    """What the caller has to do after a reading; in this order where it is several things."""
+    """What the caller has to do after a reading, in the order given."""
 
     NONE = "nothing"
-    CLAIM = "write the own word"
-    BEGIN = "it is held from now on: read back and steer"
-    BEAT = "write the own word with its next beat"
-    REPAIR = "write the own word, and read back what it holds"
-    END = "it is lost: send nothing more"
-    END_CLAIM = "it is lost with all it held; write a claim"
+    CLAIM = "write the own record"
+    BEGIN = "write the own record, read the gateway's content and begin to control it"
+    HEARTBEAT = "write the own record with the next heartbeat"
+    REPAIR = "write the own record and read the gateway's content back"
+    END = "stop sending: the gateway is no longer held"
+    END_CLAIM = "stop sending, as the gateway lost its content; write a claim"
 
 
-POLL_INTERVAL = 10_000  # 1 s between two readings: the module's bucket of time
-TAKEOVER_TIMEOUT = 40_000  # 4 s of silence: three readings missed, and one to spare
-ANSWER_TIMEOUT = 20_000  # 2 s for an answer: twice a stall that gateways were seen to make
-HOMING = 100_000  # 10 s: longer than a manager's start takes, so that a flapping one takes nothing back
+POLL_INTERVAL = 10_000  # 1 s between two readings: the decision module's time bucket
+TAKEOVER_TIMEOUT = 40_000  # 4 s without a heartbeat: three missed readings and one in reserve
+ANSWER_TIMEOUT = 20_000  # 2 s for an answer: twice the longest stall observed at gateways
+# 10 s before a manager takes back a gateway of its region: longer than a manager's start, so that one that
+# flaps takes none back.
+HOME_RETURN_DELAY = 100_000
 
 
 def lease_and_settle_times(poll: int) -> tuple[int, int]:
-    """How long a reading is believed, and how long a claim settles, for readings a poll apart.
+    """Returns the lease (how long a reading is valid) and the settle time of claims for a poll interval.
 
-    A reading outlives one poll and a half, so that one late answer costs nothing; a claim settles later
-    than that, so that whoever acted on an older reading has seen it. Both are shorter than a takeover of
-    four polls.
+    The lease is 1.5 polls, so that one late answer has no effect. The settle time is longer than the lease,
+    so that a manager that acted on an older reading has seen the claim by then. Both are shorter than the
+    takeover time of four polls.
     """
     return poll * 3 // 2, poll * 7 // 4
 
@@ -86,9 +92,9 @@
 class HolderElection:
     """One manager's view of one gateway.
 
-    takeover, settle and lease are in tenths of a millisecond; settle must exceed the holder's longest pause
-    between two readings, lease is the time for which the last reading of the own word allows sending;
-    highest_epoch is an epoch that was in use before, as far as that is known.
+    takeover, settle and lease are in tenths of a millisecond. settle must exceed the holder's longest pause
+    between two readings; lease is how long a reading of the own record permits sending; highest_epoch is the
+    highest epoch known from an earlier run, or 0.
     """
 
     def __init__(
@@ -102,105 +108,197 @@
         lease: int,
         highest_epoch: int = 0,
     ) -> None:
-        self._manager, self._region, self._home = manager, region, region == gateway_region
+        self._manager, self._region, self._is_home = manager, region, region == gateway_region
         self._gateway_region, self._takeover, self._settle, self._lease = (
             gateway_region,
             takeover,
             settle,
             lease,
         )
-        self.state, self.epoch, self._beat, self._highest = HolderState.AWAY, 0, 0, highest_epoch
-        self._seen: Word | None = None
-        self._since = self._claimed = self._confirmed = self._watched = 0
+        self.state, self.epoch, self._heartbeat, self._highest = HolderState.AWAY, 0, 0, highest_epoch
+        self._last_record: HolderRecord | None = None
+        self._unchanged_since = self._claimed_at = self._confirmed_at = self._watching_since = 0
 
-    def word(self) -> Word:
-        """The own word as it is to be written now."""
-        return Word(self.epoch, self._manager, self._region, self._beat)
+    def record(self) -> HolderRecord:
+        """The own record as it is to be written now."""
+        return HolderRecord(self.epoch, self._manager, self._region, self._heartbeat)
 
     def may_send(self, now: int) -> bool:
-        """Whether orders may go out: held, and seen to be so a short while ago."""
-        return self.state is HolderState.HOLDING and now <= self._confirmed + self._lease
+        """Whether commands may be sent: the gateway is held, as a reading within the lease has confirmed."""
+        return self.state is HolderState.HOLDING and now <= self._confirmed_at + self._lease
 
-    def lost(self) -> Effect:
-        return self._turn(Sign.LOST, 0)
+    def connection_lost(self) -> Effect:
+        return self._transition(Observation.DISCONNECTED, 0)
 
-    def read(self, word: Word | None, asked: int, now: int) -> Effect:
-        """A reading of the variable that was asked for at `asked` and came at `now`."""
-        if now - asked > self._lease:
-            return Effect.NONE  # the manager stood still meanwhile: what it read may be long gone
+    def read(self, record: HolderRecord | None, asked_at: int, now: int) -> Effect:
+        """Processes a reading of the variable that was requested at `asked_at` and arrived at `now`."""
+        if now - asked_at > self._lease:
+            return Effect.NONE  # this manager stalled in between: the reading may be outdated
         if self.state is HolderState.AWAY:
-            self.state, self._seen, self._since, self._watched = HolderState.WATCHING, word, now, now
-        if word != self._seen:
-            self._seen, self._since = word, now
-        self._highest = max(self._highest, word.epoch if word else 0)
-        sign = self._sign(word, now)
-        if sign in (Sign.MINE, Sign.SETTLED):
-            self._confirmed = asked
-        return self._turn(sign, now)
-
-    def _sign(self, word: Word | None, now: int) -> Sign:
-        still = now - self._since >= self._takeover
-        if word is None:
-            # One of another region leaves it to those of its own for a while.
-            return Sign.FREE if self._home or still or self.state is not HolderState.WATCHING else Sign.OTHERS
-        if word.manager == self._manager:
-            if self.state in (HolderState.CLAIMING, HolderState.HOLDING) and word.epoch > self.epoch:
-                return Sign.REPLACED
-            if self.state is HolderState.WATCHING or word.epoch != self.epoch:
-                return Sign.FREE  # of an earlier life of this manager: nobody else holds it
-            return Sign.SETTLED if now - self._claimed >= self._settle else Sign.MINE
-        if self.state in (HolderState.CLAIMING, HolderState.HOLDING) and word.epoch < self.epoch:
-            return Sign.STALE
-        if still:
-            return Sign.SILENT
-        foreign = self._home and word.region != self._gateway_region and now - self._watched >= HOMING
-        return Sign.FOREIGN if foreign else Sign.OTHERS
-
-    def _turn(self, sign: Sign, now: int) -> Effect:
-        self.state, effect, keep = TRANSITIONS[self.state, sign]
-        keep(self, now)
+            self.state, self._last_record, self._unchanged_since, self._watching_since = (
+                HolderState.WATCHING,
+                record,
+                now,
+                now,
+            )
+        if record != self._last_record:
+            self._last_record, self._unchanged_since = record, now
+        self._highest = max(self._highest, record.epoch if record else 0)
+        observation = self._classify(record, now)
+        if observation in (Observation.OWN, Observation.SETTLED):
+            self._confirmed_at = asked_at
+        return self._transition(observation, now)
+
+    def _classify(self, record: HolderRecord | None, now: int) -> Observation:
+        silent = now - self._unchanged_since >= self._takeover
+        if record is None:
+            # A manager of another region first leaves the gateway to managers of the gateway's region.
+            return (
+                Observation.FREE
+                if self._is_home or silent or self.state is not HolderState.WATCHING
+                else Observation.OTHER
+            )
+        if record.manager == self._manager:
+            if self.state in (HolderState.CLAIMING, HolderState.HOLDING) and record.epoch > self.epoch:
+                return Observation.REPLACED
+            if self.state is HolderState.WATCHING or record.epoch != self.epoch:
+                return Observation.FREE  # an earlier incarnation of this manager: nobody else holds it
+            return Observation.SETTLED if now - self._claimed_at >= self._settle else Observation.OWN
+        if self.state in (HolderState.CLAIMING, HolderState.HOLDING) and record.epoch < self.epoch:
+            return Observation.STALE
+        if silent:
+            return Observation.SILENT
+        other_region = (
+            self._is_home
+            and record.region != self._gateway_region
+            and now - self._watching_since >= HOME_RETURN_DELAY
+        )
+        return Observation.OTHER_REGION if other_region else Observation.OTHER
+
+    def _transition(self, observation: Observation, now: int) -> Effect:
+        self.state, effect, update = TRANSITIONS[self.state, observation]
+        update(self, now)
         return effect
 
-    def _nothing(self, now: int) -> None:
+    def _no_action(self, now: int) -> None:
         pass
 
-    def _claim(self, now: int) -> None:
-        self.epoch, self._beat, self._claimed = self._highest + 1, 0, now
+    def _start_claim(self, now: int) -> None:
+        self.epoch, self._heartbeat, self._claimed_at = self._highest + 1, 0, now
         self._highest = self.epoch
 
-    def _next_beat(self, now: int) -> None:
-        self._beat += 1
-
-    def _watch(self, now: int) -> None:
-        self._since = self._watched = now
-
-
-_Row = tuple[HolderState, Effect, Callable[[HolderElection, int], None]]
-TRANSITIONS: dict[tuple[HolderState, Sign], _Row] = {
-    **{(state, Sign.LOST): (HolderState.AWAY, Effect.NONE, HolderElection._nothing) for state in HolderState},
-    (HolderState.HOLDING, Sign.LOST): (HolderState.AWAY, Effect.END, HolderElection._nothing),
-    (HolderState.WATCHING, Sign.FREE): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
-    (HolderState.WATCHING, Sign.SILENT): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
-    (HolderState.WATCHING, Sign.FOREIGN): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
-    (HolderState.WATCHING, Sign.OTHERS): (HolderState.WATCHING, Effect.NONE, HolderElection._nothing),
-    (HolderState.CLAIMING, Sign.FREE): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
-    (HolderState.CLAIMING, Sign.MINE): (HolderState.CLAIMING, Effect.NONE, HolderElection._nothing),
-    (HolderState.CLAIMING, Sign.SETTLED): (HolderState.HOLDING, Effect.BEGIN, HolderElection._next_beat),
-    (HolderState.CLAIMING, Sign.OTHERS): (HolderState.WATCHING, Effect.NONE, HolderElection._watch),
-    (HolderState.CLAIMING, Sign.SILENT): (HolderState.WATCHING, Effect.NONE, HolderElection._watch),
-    (HolderState.CLAIMING, Sign.FOREIGN): (HolderState.WATCHING, Effect.NONE, HolderElection._watch),
-    (HolderState.CLAIMING, Sign.STALE): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
-    (HolderState.HOLDING, Sign.FREE): (HolderState.CLAIMING, Effect.END_CLAIM, HolderElection._claim),
-    (HolderState.HOLDING, Sign.MINE): (HolderState.HOLDING, Effect.BEAT, HolderElection._next_beat),
-    (HolderState.HOLDING, Sign.SETTLED): (HolderState.HOLDING, Effect.BEAT, HolderElection._next_beat),
-    (HolderState.HOLDING, Sign.OTHERS): (HolderState.WATCHING, Effect.END, HolderElection._watch),
-    (HolderState.HOLDING, Sign.SILENT): (HolderState.WATCHING, Effect.END, HolderElection._watch),
-    (HolderState.HOLDING, Sign.FOREIGN): (HolderState.WATCHING, Effect.END, HolderElection._watch),
-    (HolderState.HOLDING, Sign.STALE): (HolderState.HOLDING, Effect.REPAIR, HolderElection._next_beat),
-    (HolderState.CLAIMING, Sign.REPLACED): (HolderState.REPLACED, Effect.END, HolderElection._nothing),
-    (HolderState.HOLDING, Sign.REPLACED): (HolderState.REPLACED, Effect.END, HolderElection._nothing),
+    def _increment_heartbeat(self, now: int) -> None:
+        self._heartbeat += 1
+
+    def _start_watching(self, now: int) -> None:
+        self._unchanged_since = self._watching_since = now
+
+
+_Transition = tuple[HolderState, Effect, Callable[[HolderElection, int], None]]
+TRANSITIONS: dict[tuple[HolderState, Observation], _Transition] = {
+    **{
+        (state, Observation.DISCONNECTED): (HolderState.AWAY, Effect.NONE, HolderElection._no_action)
+        for state in HolderState
+    },
+    (HolderState.HOLDING, Observation.DISCONNECTED): (
+        HolderState.AWAY,
+        Effect.END,
+        HolderElection._no_action,
+    ),
+    (HolderState.WATCHING, Observation.FREE): (
+        HolderState.CLAIMING,
+        Effect.CLAIM,
+        HolderElection._start_claim,
+    ),
+    (HolderState.WATCHING, Observation.SILENT): (
+        HolderState.CLAIMING,
+        Effect.CLAIM,
+        HolderElection._start_claim,
+    ),
+    (HolderState.WATCHING, Observation.OTHER_REGION): (
+        HolderState.CLAIMING,
+        Effect.CLAIM,
+        HolderElection._start_claim,
+    ),
+    (HolderState.WATCHING, Observation.OTHER): (HolderState.WATCHING, Effect.NONE, HolderElection._no_action),
+    (HolderState.CLAIMING, Observation.FREE): (
+        HolderState.CLAIMING,
+        Effect.CLAIM,
+        HolderElection._start_claim,
+    ),
+    (HolderState.CLAIMING, Observation.OWN): (HolderState.CLAIMING, Effect.NONE, HolderElection._no_action),
+    (HolderState.CLAIMING, Observation.SETTLED): (
+        HolderState.HOLDING,
+        Effect.BEGIN,
+        HolderElection._increment_heartbeat,
+    ),
+    (HolderState.CLAIMING, Observation.OTHER): (
+        HolderState.WATCHING,
+        Effect.NONE,
+        HolderElection._start_watching,
+    ),
+    (HolderState.CLAIMING, Observation.SILENT): (
+        HolderState.WATCHING,
+        Effect.NONE,
+        HolderElection._start_watching,
+    ),
+    (HolderState.CLAIMING, Observation.OTHER_REGION): (
+        HolderState.WATCHING,
+        Effect.NONE,
+        HolderElection._start_watching,
+    ),
+    (HolderState.CLAIMING, Observation.STALE): (
+        HolderState.CLAIMING,
+        Effect.CLAIM,
+        HolderElection._start_claim,
+    ),
+    (HolderState.HOLDING, Observation.FREE): (
+        HolderState.CLAIMING,
+        Effect.END_CLAIM,
+        HolderElection._start_claim,
+    ),
+    (HolderState.HOLDING, Observation.OWN): (
+        HolderState.HOLDING,
+        Effect.HEARTBEAT,
+        HolderElection._increment_heartbeat,
+    ),
+    (HolderState.HOLDING, Observation.SETTLED): (
+        HolderState.HOLDING,
+        Effect.HEARTBEAT,
+        HolderElection._increment_heartbeat,
+    ),
+    (HolderState.HOLDING, Observation.OTHER): (
+        HolderState.WATCHING,
+        Effect.END,
+        HolderElection._start_watching,
+    ),
+    (HolderState.HOLDING, Observation.SILENT): (
+        HolderState.WATCHING,
+        Effect.END,
+        HolderElection._start_watching,
+    ),
+    (HolderState.HOLDING, Observation.OTHER_REGION): (
+        HolderState.WATCHING,
+        Effect.END,
+        HolderElection._start_watching,
+    ),
+    (HolderState.HOLDING, Observation.STALE): (
+        HolderState.HOLDING,
+        Effect.REPAIR,
+        HolderElection._increment_heartbeat,
+    ),
+    (HolderState.CLAIMING, Observation.REPLACED): (
+        HolderState.REPLACED,
+        Effect.END,
+        HolderElection._no_action,
+    ),
+    (HolderState.HOLDING, Observation.REPLACED): (
+        HolderState.REPLACED,
+        Effect.END,
+        HolderElection._no_action,
+    ),
     **{
-        (HolderState.REPLACED, sign): (HolderState.REPLACED, Effect.NONE, HolderElection._nothing)
-        for sign in Sign
+        (HolderState.REPLACED, observation): (HolderState.REPLACED, Effect.NONE, HolderElection._no_action)
+        for observation in Observation
     },
 }
--- a/rushladder/guard/__init__.py
+++ b/rushladder/guard/__init__.py
@@ -1,1 +1,1 @@
-"""Judges every change of what gateways hold before it goes out. Free of I/O and of any clock of its own."""
+"""Checks every change of gateways' content before it is sent. Does no I/O and has no clock of its own."""
--- a/rushladder/guard/limit_shares.py
+++ b/rushladder/guard/limit_shares.py
@@ -1,29 +1,34 @@
-"""Which part of a server's stated limit one manager may use, so that all managers together keep it unasked.
+"""Computes the share of each server's stated limit that one manager may use.
 
-Managers know the same gateways, and each knows which of them it holds. A gateway's own region is where most
-of its txns go, so it counts in full there and by a part elsewhere; the parts of all managers add up to one,
-as each gateway has one holder.
+All managers together observe the limits without communicating: they know the same gateways, and each knows
+which of them it holds. A gateway sends most txns to its own region, so it counts in full there and with a
+fraction elsewhere. The shares of all managers add up to one, as each gateway has exactly one holder.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 
-# Of a gateway's txns that may cross regions. Chosen, not measured: the module keeps txns at home up to even
-# use.
-SPILL = 0.25
+# Weight of a gateway in other regions. It is small because the decision module keeps txns in their region
+# until utilization is even.
+REMOTE_WEIGHT = 0.25
 
 
 def limit_shares(
     servers: Mapping[str, str], gateways: Sequence[tuple[str, str, float]], held: frozenset[str]
 ) -> dict[str, float]:
-    """The part for each server. servers: name to region; gateways: name, region and usual rate; held: the
-    own ones."""
-    parts = dict[str, float]()
+    """Returns the share by server name.
+
+    servers: name to region; gateways: name, region and usual rate; held: names of the own gateways.
+    """
+    shares = dict[str, float]()
     for region in set(servers.values()):
-        weights = [(name, rate * (1.0 if home == region else SPILL)) for name, home, rate in gateways]
-        whole = sum(weight for _, weight in weights)
+        weights = [
+            (name, rate * (1.0 if gateway_region == region else REMOTE_WEIGHT))
+            for name, gateway_region, rate in gateways
+        ]
+        total = sum(weight for _, weight in weights)
         own = sum(weight for name, weight in weights if name in held)
-        part = own / whole if whole else 1.0
-        parts |= {name: part for name, home in servers.items() if home == region}
-    return parts
+        share = own / total if total else 1.0
+        shares |= {name: share for name, gateway_region in servers.items() if gateway_region == region}
+    return shares
--- a/rushladder/guard/table_guard.py
+++ b/rushladder/guard/table_guard.py
@@ -1,9 +1,8 @@
-"""One manager's guard: keeps the book true to what the core holds, judges each table, and takes changes out
-in waves.
+"""The guard of one manager: keeps the load projection current, checks tables and rolls changes out in waves.
 
-The module's own tables are judged as a whole, each by itself; one that is refused is a fault of ours: the
-last good one stays and service goes on. Operators change factors: by how much the decided weight of a
-server is multiplied for a product.
+Each table that the decision module orders is checked as a whole. A refused table indicates a bug in the
+module: the last accepted table stays in use and service continues. Operators change factors, which multiply
+the weights that the module has chosen for a server and product.
 """
 
 from __future__ import annotations
@@ -19,37 +18,39 @@
 from rushladder.guard.waves import Arm, Effect, Stage, Wave
 from rushladder.interface import Product
 
-MOVES = 0.02  # part of all txns that a change may move without a wave: less than a period's own noise
-FADES = 0.9  # a period, of the memory of how many txns were bad before: about ten periods
+MAX_DIRECT_MOVE = 0.02  # share of all txns that a change may move without a wave: below the noise of a period
+MEMORY_DECAY = 0.9  # per period, of the recorded share of bad txns: remembers about ten periods
 
 
 class Denied(Exception):
-    """A change that was refused, with the reason and the least that would be accepted."""
+    """A refused change, with the reason and what would be accepted."""
 
 
 @attrs.define
-class _Before:
-    many: float = 0.0
+class _Baseline:
+    """A gateway's decaying numbers of ended and of bad txns, recorded while no wave is in progress."""
+
+    count: float = 0.0
     bad: float = 0.0
 
 
 class TableGuard:
     """The guard of one manager. Bounded by its servers, tables and gateways."""
 
-    def __init__(self, draw: Callable[[], float], guard: str = "on") -> None:
+    def __init__(self, random: Callable[[], float], guard: str = "on") -> None:
         self.projection, self.history = LoadProjection(), History()
         self.admission = Admission(self.projection)
         self.admission.lenient, self._waves = guard == "off", guard == "on"
         self.wave: Wave | None = None
-        self._draw, self._before = draw, dict[str, _Before]()
-        self._plain = dict[str, dict[str, float]]()  # pool -> server -> weight as the module decided it
-        self._stated, self._parts = dict[str, float](), dict[str, float]()
-        self._gone = dict[str, None]()  # off the list, and not yet out of every table
-        self.order_errors = list[str]()  # own orders that were refused, since last taken
+        self._random, self._baselines = random, dict[str, _Baseline]()
+        self._module_weights = dict[str, dict[str, float]]()  # pool -> server -> weight, without factors
+        self._stated_limits, self._limit_shares = dict[str, float](), dict[str, float]()
+        self._unlisted = dict[str, None]()  # no longer listed, but still in a table
+        self.order_errors = list[str]()  # refused orders of the module, until a reader clears them
 
-    # Facts.
+    # Servers and demand.
 
-    def server(
+    def update_server(
         self,
         name: str,
         zone: str,
@@ -62,95 +63,94 @@
         cold_time: int,
         cold_from: float,
     ) -> None:
-        """A server as it is listed and withdrawn now. One that closes is a drain, which always passes."""
-        known = self.projection.servers.get(name)
-        if known is None or (known.zone, known.model) != (zone, model):
-            known = Server(name, zone, model)
-            self.projection.add_server(known)
-        self._gone.pop(name, None)
-        self._stated[name] = limit
-        known.limit, known.connections = limit * self._parts.get(name, 1.0), connections
-        known.cold_from, known.cold_time = cold_from, max(1, cold_time)
-        known.warm_at = started_at + cold_time if started_at else 0
-        if known.ready is not ready:
-            self.projection.set_ready(known, ready)
+        """Updates a server's record. Making it unavailable is a drain, which is never refused."""
+        record = self.projection.servers.get(name)
+        if record is None or (record.zone, record.model) != (zone, model):
+            record = Server(name, zone, model)
+            self.projection.add_server(record)
+        self._unlisted.pop(name, None)
+        self._stated_limits[name] = limit
+        record.limit, record.connections = limit * self._limit_shares.get(name, 1.0), connections
+        record.cold_from, record.cold_time = cold_from, max(1, cold_time)
+        record.warm_at = started_at + cold_time if started_at else 0
+        if record.ready is not ready:
+            self.projection.set_ready(record, ready)
             self.projection.commit()
 
-    def forget(self, name: str) -> None:
-        """A server that is off the list: its lines go as the tables change."""
-        known = self.projection.servers.get(name)
-        if known is not None:
-            self._gone[name] = None
-            if known.ready:
+    def remove_server(self, name: str) -> None:
+        """Closes a server that is no longer listed; its lines disappear as the tables change."""
+        record = self.projection.servers.get(name)
+        if record is not None:
+            self._unlisted[name] = None
+            if record.ready:
                 self.admission.judge([(Close(name),)], 0)
 
-    def _sweep(self) -> None:
-        """Drops what is off the list once no table names it: names come and go for years."""
-        for name in [name for name in self._gone if not self.projection.servers[name].parts]:
-            del self.projection.servers[name], self._gone[name]
-            self._stated.pop(name, None)
-            self._parts.pop(name, None)
+    def _drop_unlisted(self) -> None:
+        """Forgets unlisted servers that no table names, so that changing names do not accumulate."""
+        for name in [name for name in self._unlisted if not self.projection.servers[name].load_by_pool]:
+            del self.projection.servers[name], self._unlisted[name]
+            self._stated_limits.pop(name, None)
+            self._limit_shares.pop(name, None)
 
     def pool(self, table: str, product: Product, zone: str) -> Pool:
         name = f"{product.name}@{table}"
-        found = self.projection.pools.get(name)
-        if found is None:
-            found = Pool(name, product, zone, 0)
-            self.projection.add_pool(found)
-        return found
-
-    def demand(self, table: str, product: Product, zone: str, rate: float, now: int) -> None:
-        """Txns a second that come to a table's gateways now."""
+        pool = self.projection.pools.get(name)
+        if pool is None:
+            pool = Pool(name, product, zone, 0)
+            self.projection.add_pool(pool)
+        return pool
+
+    def update_demand(self, table: str, product: Product, zone: str, rate: float, now: int) -> None:
+        """Sets the present demand at a table's gateways in txns a second."""
         pool = self.pool(table, product, zone)
         if not math.isclose(pool.demand, rate, rel_tol=0.02, abs_tol=0.01):
             self.projection.set_demand(pool, rate)
             self.projection.commit()
-        self.admission.demand_at = now
+        self.admission.demand_updated_at = now
 
-    def allot(self, parts: Mapping[str, float]) -> None:
-        """Which part of each server's stated limit this manager may use: what it is safe to use whatever
-        others do."""
-        self._parts = dict(parts)
+    def set_limit_shares(self, shares: Mapping[str, float]) -> None:
+        """Sets the share of each server's stated limit that is safe to use whatever other managers do."""
+        self._limit_shares = dict(shares)
         for name, server in self.projection.servers.items():
-            server.limit = self._stated.get(name, 0.0) * self._parts.get(name, 1.0)
+            server.limit = self._stated_limits.get(name, 0.0) * self._limit_shares.get(name, 1.0)
 
-    def _outgrown(self) -> str:
-        """A server that an operator's change sends more than its limit by now, as demand has grown since."""
+    def _overloaded_server(self) -> str:
+        """Describes a server that now exceeds its limit because of an operator's factor and grown demand."""
         for product, name in self._version(None).factors:
             server = self.projection.servers.get(name)
             if server is not None and server.limit and server.load > server.limit:
-                figures = f"{server.load:.1f} txns a second by now, over its {server.limit:.1f}"
+                figures = f"{server.load:.1f} txns a second now, over its {server.limit:.1f}"
                 return f"{name} is sent {figures} ({product})"
         return ""
 
-    # The module's orders.
+    # Orders of the decision module.
 
-    def table(
+    def check_table(
         self, table: str, products: Sequence[Product], zone: str, lines: Mapping[str, float], now: int
     ) -> Refusal | None:
-        """Whether a whole table may go out; if not, why. Its products' lines stand or fall together."""
-        parts = list[Line]()
+        """Checks a table as a whole, with the lines of all its products; returns the refusal, if any."""
+        changes = list[Line]()
         for product in products:
             pool = self.pool(table, product, zone)
-            have = {server.name: weight for server, weight in pool.lines.items()}
-            for server in {**have, **lines}:
+            current = {server.name: weight for server, weight in pool.lines.items()}
+            for server in {**current, **lines}:
                 wanted = lines.get(server, 0.0) * self.factor(product.name, server)
-                if wanted != have.get(server, 0.0):
-                    parts.append(Line(pool.name, server, wanted))
-        if not parts:
+                if wanted != current.get(server, 0.0):
+                    changes.append(Line(pool.name, server, wanted))
+        if not changes:
             return None
-        verdict = self.admission.judge([tuple(parts)], now, trusted=True)
+        verdict = self.admission.judge([tuple(changes)], now, trusted=True)
         if verdict.refused:
             self.order_errors.append(
-                f"own order for table {table} refused, the last good one stays: {verdict.refused[0]}"
+                f"own order for table {table} refused, the last accepted one stays: {verdict.refused[0]}"
             )
             del self.order_errors[:-20]
             return verdict.refused[0]
         for product in products:
-            self._plain[f"{product.name}@{table}"] = dict(lines)
+            self._module_weights[f"{product.name}@{table}"] = dict(lines)
         return None
 
-    def gate(
+    def check_gate(
         self, table: str, product: Product, zone: str, level: float, retry: int, now: int
     ) -> Refusal | None:
         pool = self.pool(table, product, zone)
@@ -168,7 +168,7 @@
         return self.history[self.history.current if number is None else number]
 
     def version_of(self, gateway: str) -> int:
-        """Which version a gateway holds: while a wave is out, only its gateways have the new one."""
+        """The version a gateway has: during a wave, only the wave's gateways have the new one."""
         wave = self.wave
         if wave is None or wave.finished or gateway in wave.changed:
             return self.history.current
@@ -177,12 +177,12 @@
     def propose(
         self, who: str, why: str, changes: Sequence[tuple[Key, float]], gateways: Sequence[str], now: int
     ) -> Version:
-        """An operator's change of factors, judged as one. Raises Denied with the reason.
+        """Judges an operator's change of factors as a whole. Raises Denied with the reason.
 
-        gateways: all that are held. A change that moves more than a part of the traffic goes out in waves.
+        gateways: all held gateways. A change that moves more than MAX_DIRECT_MOVE is rolled out in waves.
         """
         if self.wave is not None and not self.wave.finished:
-            raise self._denied(
+            raise self._deny(
                 who,
                 f"version {self.wave.number} is still on its way ({self.wave.stage.value}); wait for "
                 "it, or roll it back",
@@ -192,15 +192,15 @@
         products = {pool.product.name for pool in self.projection.pools.values()}
         for key, factor in changes:
             if key in seen:
-                raise self._denied(
-                    who, f"duplicate: {'/'.join(key)} stands twice; one entry would be accepted", now
+                raise self._deny(
+                    who, f"duplicate: {'/'.join(key)} is given twice; one entry would be accepted", now
                 )
             if key[0] not in products or key[1] not in self.projection.servers:
-                raise self._denied(
+                raise self._deny(
                     who, f"unknown: {'/'.join(key)}; a product and server in use would be accepted", now
                 )
             if not 0.0 <= factor <= 100.0:
-                raise self._denied(
+                raise self._deny(
                     who, f"out of range: {factor:g}; a factor from 0 to 100 would be accepted", now
                 )
             seen.add(key)
@@ -208,30 +208,30 @@
         return self._accept(who, why, factors, gateways, now)
 
     def resize(self, who: str, server: str, ratio: float, now: int) -> None:
-        """A listed size is to change so many times: judged as if each line followed it. Raises Denied."""
-        known = self.projection.servers.get(server)
+        """Judges a change of a listed size by a ratio, as if every line changed with it. Raises Denied."""
+        record = self.projection.servers.get(server)
         lines = tuple(
             Line(pool.name, server, weight * ratio)
             for pool in self.projection.pools.values()
-            if known is not None and (weight := pool.lines.get(known, 0.0)) and not math.isclose(ratio, 1.0)
+            if record is not None and (weight := pool.lines.get(record, 0.0)) and not math.isclose(ratio, 1.0)
         )
-        refusal = self.admission.test(lines, now) if lines else None
+        refusal = self.admission.dry_run(lines, now) if lines else None
         if refusal is not None:
-            raise self._denied(who, str(refusal), now)
+            raise self._deny(who, str(refusal), now)
 
     def rollback(self, who: str, number: int, gateways: Sequence[str], now: int) -> Version:
-        """Back to a version; judged like any change, unless it is the one before a wave that is still out."""
+        """Returns to a version, judged like any change unless it is the parent of a wave in progress."""
         if self.wave is not None and not self.wave.finished:
             if number != self.history[self.wave.number].parent:
-                raise self._denied(
+                raise self._deny(
                     who, f"version {self.wave.number} is still on its way; roll back to its parent first", now
                 )
-            self._undo("rolled back by hand", now)
+            self._revert("rolled back by an operator", now)
             return self._version(None)
         try:
             factors = self.history[number].factors
         except KeyError:
-            raise self._denied(
+            raise self._deny(
                 who, f"unknown: no version {number}; one of the history would be accepted", now
             ) from None
         return self._accept(who, f"rollback to {number}", factors, gateways, now)
@@ -239,89 +239,93 @@
     def _accept(
         self, who: str, why: str, factors: Mapping[Key, float], gateways: Sequence[str], now: int
     ) -> Version:
-        before = {name: dict(pool.parts_now()) for name, pool in self._pools_of(factors).items()}
-        verdict = self.admission.judge([self._lines(factors)], now) if self._lines(factors) else None
+        before = {name: dict(pool.load_by_server()) for name, pool in self._pools_of(factors).items()}
+        verdict = (
+            self.admission.judge([self._changed_lines(factors)], now)
+            if self._changed_lines(factors)
+            else None
+        )
         if verdict is not None and verdict.refused:
-            raise self._denied(who, str(verdict.refused[0]), now)
+            raise self._deny(who, str(verdict.refused[0]), now)
         version = self.history.accept(who, why, factors, now)
-        if self._waves and self._moved(before) > MOVES and len(gateways) > 1:
-            order = sorted(gateways, key=lambda _: self._draw())
-            self.wave = Wave(version.number, order, self._bad_before(order), now)
+        if self._waves and self._moved_share(before) > MAX_DIRECT_MOVE and len(gateways) > 1:
+            order = sorted(gateways, key=lambda _: self._random())
+            self.wave = Wave(version.number, order, self._baseline_bad_share(order), now)
         return version
 
     def _pools_of(self, factors: Mapping[Key, float]) -> dict[str, Pool]:
         changed = {key[0] for key in {*factors, *self._version(None).factors}}
         return {name: pool for name, pool in self.projection.pools.items() if pool.product.name in changed}
 
-    def _lines(self, factors: Mapping[Key, float]) -> tuple[Line, ...]:
-        found = list[Line]()
+    def _changed_lines(self, factors: Mapping[Key, float]) -> tuple[Line, ...]:
+        changed = list[Line]()
         for name, pool in self._pools_of(factors).items():
-            for server, weight in self._plain.get(name, {}).items():
+            for server, weight in self._module_weights.get(name, {}).items():
                 wanted = weight * factors.get((pool.product.name, server), 1.0)
                 if wanted != pool.lines.get(self.projection.servers[server], 0.0):
-                    found.append(Line(name, server, wanted))
-        return tuple(found)
+                    changed.append(Line(name, server, wanted))
+        return tuple(changed)
 
-    def _moved(self, before: Mapping[str, Mapping[str, float]]) -> float:
-        """The part of all txns that go elsewhere than before."""
+    def _moved_share(self, before: Mapping[str, Mapping[str, float]]) -> float:
+        """The share of all txns that go to another server than before."""
         total = sum(pool.demand for pool in self.projection.pools.values()) or 1.0
         moved = 0.0
-        for name, parts in before.items():
-            after = self.projection.pools[name].parts_now()
+        for name, loads in before.items():
+            after = self.projection.pools[name].load_by_server()
             moved += (
-                sum(abs(after.get(server, 0.0) - parts.get(server, 0.0)) for server in {*after, *parts}) / 2
+                sum(abs(after.get(server, 0.0) - loads.get(server, 0.0)) for server in {*after, *loads}) / 2
             )
         return moved / total
 
-    def _denied(self, who: str, what: str, now: int) -> Denied:
+    def _deny(self, who: str, what: str, now: int) -> Denied:
         self.history.refuse(who, what, now)
         return Denied(what)
 
     # Waves.
 
-    def period(self, met: Mapping[str, Sequence[Arm]], now: int) -> Effect:
-        """What each gateway met in the last period; says what became of the wave."""
-        self._sweep()
-        for name, arms in met.items():
-            before = self._before.setdefault(name, _Before())
+    def end_period(self, arms_by_gateway: Mapping[str, Sequence[Arm]], now: int) -> Effect:
+        """Evaluates the last period's outcomes and returns the effect on the wave."""
+        self._drop_unlisted()
+        for name, arms in arms_by_gateway.items():
+            baseline = self._baselines.setdefault(name, _Baseline())
             if self.wave is None or self.wave.finished:
-                before.many = FADES * before.many + sum(arm.many for arm in arms)
-                before.bad = FADES * before.bad + sum(arm.bad for arm in arms)
+                baseline.count = MEMORY_DECAY * baseline.count + sum(arm.count for arm in arms)
+                baseline.bad = MEMORY_DECAY * baseline.bad + sum(arm.bad for arm in arms)
         wave = self.wave
         if wave is None or wave.finished:
             return Effect.NONE
-        changed = [arm for name in wave.changed for arm in met.get(name, ())]
-        others = [arm for name, arms in met.items() if name not in wave.changed for arm in arms]
-        effect = wave.period(changed, others, now)
-        if not wave.finished and (outgrown := self._outgrown()):
-            self._undo(f"taken back: {outgrown}", now)
+        changed = [arm for name in wave.changed for arm in arms_by_gateway.get(name, ())]
+        others = [arm for name, arms in arms_by_gateway.items() if name not in wave.changed for arm in arms]
+        effect = wave.end_period(changed, others, now)
+        if not wave.finished and (overloaded := self._overloaded_server()):
+            self._revert(f"taken back: {overloaded}", now)
             return Effect.UNDO
         if effect is Effect.UNDO:
-            self._undo(
-                f"taken back: {wave.test.probability_worse():.1%} sure that it is worse"
+            self._revert(
+                f"taken back: {wave.test.probability_worse():.1%} probability that it is worse"
                 if wave.test.ratio > 0
-                else "taken back: not sure for too long",
+                else "taken back: undecided for too long",
                 now,
             )
         return effect
 
-    def _bad_before(self, gateways: Sequence[str]) -> float:
-        some = [self._before[name] for name in gateways if name in self._before]
-        many = sum(one.many for one in some)
-        return sum(one.bad for one in some) / many if many else 0.0
+    def _baseline_bad_share(self, gateways: Sequence[str]) -> float:
+        baselines = [self._baselines[name] for name in gateways if name in self._baselines]
+        count = sum(baseline.count for baseline in baselines)
+        return sum(baseline.bad for baseline in baselines) / count if count else 0.0
 
-    def left(self, gateway: str) -> None:
-        self._before.pop(gateway, None)
+    def remove_gateway(self, gateway: str) -> None:
+        self._baselines.pop(gateway, None)
         if self.wave is not None and not self.wave.finished:
-            self.wave.lost(gateway)
+            self.wave.remove_gateway(gateway)
 
-    def _undo(self, why: str, now: int) -> None:
+    def _revert(self, why: str, now: int) -> None:
         assert self.wave is not None
-        self.history.back(self.wave.number, why)
+        self.history.revert(self.wave.number, why)
         self.wave.stage = Stage.UNDONE
-        # What stood before is put back without being judged: a change that is taken back may not be kept out.
+        # The previous weights are restored without a check: admission must not prevent a rollback.
         for name, pool in self.projection.pools.items():
-            for server, weight in self._plain.get(name, {}).items():
+            for server, weight in self._module_weights.get(name, {}).items():
                 self.projection.set_weight(
                     pool, self.projection.servers[server], weight * self.factor(pool.product.name, server)
                 )
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -1,9 +1,10 @@
-"""Waves: a change goes to a few gateways first, is watched, and widens, holds or is taken back by itself.
+"""Waves: a change is applied to a few gateways first, evaluated, and then widened, held or reverted.
 
-The watch is Wald's sequential test: after each period the likelihood of what the changed gateways met, if
-they were worse by a stated part, over that if they were like the others; it ends as soon as either is sure
-enough. What is bad is a txn that voids or is late; how many were late is told from the mean time, as plain
-proxies give no more.
+The evaluation is Wald's sequential probability ratio test. Each period updates the likelihood ratio of the
+changed gateways' outcomes under two hypotheses: that their share of bad txns is higher by a given amount, and
+that it equals that of the other gateways. The test ends as soon as one of them is sufficiently certain. Bad
+txns are voided or late ones; the number of late ones is estimated from the mean time, as plain proxies report
+no more.
 """
 
 from __future__ import annotations
@@ -14,56 +15,63 @@
 
 import attrs
 
-# Chance of taking back a good change, and of widening a bad one: once in a hundred changes either way.
-WRONG = 0.01
-# A rise of bad txns by 5 in 100 is what a wave has to find: half of what an operator would see at once.
-HARM = 0.05
-# Part of bad txns taken for normal even where none was met: one in 200, so that one alone says little.
-LEAST = 0.005
-LONG = 300_000  # 30 s in one stage: at 6 txns a second and gateway the test ends in 10 to 15 s
-SIZES = (0.1, 0.35, 1.0)  # parts of the gateways: one in ten is enough to see, a third to be sure
+# Probability of reverting a good change, and of widening a bad one: one in a hundred changes each.
+ERROR_RATE = 0.01
+# Minimum increase of the share of bad txns that a wave has to detect: half of what an operator would notice
+# at once.
+MIN_INCREASE = 0.05
+# Share of bad txns assumed as normal even if there were none, so that a single one is weak evidence.
+MIN_BAD_SHARE = 0.005
+STAGE_TIMEOUT = 300_000  # 30 s; at 6 txns a second per gateway the test ends in 10 to 15 s
+STAGE_SHARES = (0.1, 0.35, 1.0)  # of the gateways: a tenth is enough to see an effect, a third to be sure
 
 
 class Stage(Enum):
+    """How far a wave has come. The names are printed by `show wave`."""
+
     FIRST = "first wave"
     MORE = "second wave"
     ALL = "all gateways"
-    HELD = "held: not sure"
+    HELD = "held: undecided"
     DONE = "done"
     UNDONE = "taken back"
 
 
-class Sign(Enum):
-    WORSE = "worse, sure enough"
-    FINE = "no worse, sure enough"
-    UNSURE = "not sure yet"
-    LONG = "not sure for too long"
+class TestResult(Enum):
+    """The result of the sequential test after a period."""
+
+    WORSE = "significantly worse"
+    NOT_WORSE = "not worse"
+    UNDECIDED = "undecided so far"
+    TIMED_OUT = "undecided for too long"
 
 
 class Effect(Enum):
+    """What a period changes for the gateways. The values are logged."""
+
     NONE = "nothing"
-    WIDEN = "more gateways take the change"
-    FINISH = "every gateway has it, and it stands"
-    HOLD = "no more gateways take it, somebody is told"
-    UNDO = "every gateway goes back to what stood before"
+    WIDEN = "more gateways get the change"
+    FINISH = "the change is final on all gateways"
+    HOLD = "no more gateways get the change; logged for operators"
+    UNDO = "all gateways return to the previous version"
 
 
 @attrs.frozen
 class Arm:
-    """What gateways met in a period: txns that ended, those voided, and the mean time of the settled ones.
+    """Outcomes of a group of gateways in a period: txns ended, txns voided, and the settled ones' total time.
 
-    Times in tenths of a millisecond; sla_time of the product.
+    Times are in tenths of a millisecond; sla_time is that of the product.
     """
 
-    many: float = 0.0
+    count: float = 0.0
     voided: float = 0.0
     time: float = 0.0
     sla_time: float = 1.0
 
     @property
     def bad(self) -> float:
-        """Voided and late ones; the late ones as if times were spread exponentially about their mean."""
-        settled = self.many - self.voided
+        """The number of voided and late txns; late ones are estimated from an exponential distribution."""
+        settled = self.count - self.voided
         mean = self.time / settled if settled > 0 else 0.0
         return self.voided + (settled * math.exp(-self.sla_time / mean) if mean > 0 else 0.0)
 
@@ -74,94 +82,104 @@
     def __init__(self) -> None:
         self.ratio, self.txns = 0.0, 0.0
 
-    def period(self, changed: Sequence[Arm], others: Sequence[Arm], before: float) -> Sign:
-        """One period of the arms, by product; `before`: the changed gateways' part of bad txns before the
-        change."""
-        many, bad = sum(arm.many for arm in changed), sum(arm.bad for arm in changed)
-        control = sum(arm.many for arm in others)
-        rate = sum(arm.bad for arm in others) / control if control else before
-        like = min(0.9, max(LEAST, rate, before))  # no better than the others are now, nor than it was
-        worse = min(0.95, like + max(HARM, 0.5 * like))
-        self.ratio += bad * math.log(worse / like) + (many - bad) * math.log((1 - worse) / (1 - like))
-        self.txns += many
-        if self.ratio >= math.log((1 - WRONG) / WRONG):
-            return Sign.WORSE
-        return Sign.FINE if self.ratio <= math.log(WRONG / (1 - WRONG)) else Sign.UNSURE
+    def end_period(self, changed: Sequence[Arm], others: Sequence[Arm], share_before: float) -> TestResult:
+        """Adds one period, with an arm per gateway and product.
+
+        share_before: the changed gateways' share of bad txns before the change.
+        """
+        count, bad = sum(arm.count for arm in changed), sum(arm.bad for arm in changed)
+        control_count = sum(arm.count for arm in others)
+        others_share = sum(arm.bad for arm in others) / control_count if control_count else share_before
+        expected_share = min(
+            0.9, max(MIN_BAD_SHARE, others_share, share_before)
+        )  # the worse of others and before
+        worse_share = min(0.95, expected_share + max(MIN_INCREASE, 0.5 * expected_share))
+        self.ratio += bad * math.log(worse_share / expected_share) + (count - bad) * math.log(
+            (1 - worse_share) / (1 - expected_share)
+        )
+        self.txns += count
+        if self.ratio >= math.log((1 - ERROR_RATE) / ERROR_RATE):
+            return TestResult.WORSE
+        return (
+            TestResult.NOT_WORSE
+            if self.ratio <= math.log(ERROR_RATE / (1 - ERROR_RATE))
+            else TestResult.UNDECIDED
+        )
 
     def probability_worse(self) -> float:
-        """The chance that the changed gateways are worse, if both were as likely at the start."""
+        """The probability that the changed gateways are worse, given equal prior probabilities."""
         return 1 / (1 + math.exp(-max(-700.0, min(700.0, self.ratio))))
 
 
 class Wave:
-    """One change on its way out. `gateways` are in the order in which they take it."""
+    """The staged rollout of one version. `gateways` are in the order in which they get it."""
 
-    def __init__(self, number: int, gateways: Sequence[str], before: float, now: int) -> None:
-        self.number, self._gateways, self._before = number, list(gateways), before
-        self.stage, self._since, self.test = Stage.FIRST, now, SequentialTest()
-        self._many = self._size(0)
+    def __init__(self, number: int, gateways: Sequence[str], share_before: float, now: int) -> None:
+        self.number, self._gateways, self._share_before = number, list(gateways), share_before
+        self.stage, self._stage_since, self.test = Stage.FIRST, now, SequentialTest()
+        self._changed_count = self._size(0)
 
     def _size(self, step: int) -> int:
-        return max(1, math.ceil(SIZES[step] * len(self._gateways)))
+        return max(1, math.ceil(STAGE_SHARES[step] * len(self._gateways)))
 
     @property
     def changed(self) -> list[str]:
-        """The gateways that hold the change now."""
-        return self._gateways[: self._many]
+        """The gateways that have the change now."""
+        return self._gateways[: self._changed_count]
 
     @property
     def finished(self) -> bool:
         return self.stage in (Stage.DONE, Stage.UNDONE)
 
-    def period(self, changed: Sequence[Arm], others: Sequence[Arm], now: int) -> Effect:
-        sign = self.test.period(changed, others, self._before)
-        if sign is Sign.UNSURE and now - self._since >= LONG:
-            sign = Sign.LONG
-        return self._turn(sign, now)
+    def end_period(self, changed: Sequence[Arm], others: Sequence[Arm], now: int) -> Effect:
+        result = self.test.end_period(changed, others, self._share_before)
+        if result is TestResult.UNDECIDED and now - self._stage_since >= STAGE_TIMEOUT:
+            result = TestResult.TIMED_OUT
+        return self._transition(result, now)
 
-    def lost(self, gateway: str) -> None:
-        """A gateway that left takes the change when it is back, if it stands by then."""
+    def remove_gateway(self, gateway: str) -> None:
+        """Removes a gateway that left; it gets the change on its return if that is accepted by then."""
         if gateway in self._gateways:
-            self._many -= self._gateways.index(gateway) < self._many
+            self._changed_count -= self._gateways.index(gateway) < self._changed_count
             self._gateways.remove(gateway)
-            self._many = max(self._many, min(1, len(self._gateways)))
+            self._changed_count = max(self._changed_count, min(1, len(self._gateways)))
 
-    def _turn(self, sign: Sign, now: int) -> Effect:
+    def _transition(self, result: TestResult, now: int) -> Effect:
         before = self.stage
-        self.stage, effect, step = STAGES[self.stage, sign]
-        step(self)
+        self.stage, effect, action = TRANSITIONS[self.stage, result]
+        action(self)
         if self.stage is not before:
-            self._since, self.test = now, SequentialTest() if not self.finished else self.test
+            self._stage_since, self.test = now, SequentialTest() if not self.finished else self.test
         return effect
 
-    def _stay(self) -> None:
+    def _keep_gateways(self) -> None:
         pass
 
-    def _more(self) -> None:
-        self._many = self._size(1)
+    def _second_stage(self) -> None:
+        self._changed_count = self._size(1)
 
-    def _all(self) -> None:
-        self._many = len(self._gateways)
+    def _all_gateways(self) -> None:
+        self._changed_count = len(self._gateways)
 
-    def _none(self) -> None:
-        self._many = 0
+    def _no_gateways(self) -> None:
+        self._changed_count = 0
 
 
-_Row = tuple[Stage, Effect, Callable[[Wave], None]]
-STAGES: dict[tuple[Stage, Sign], _Row] = {
-    **{(stage, Sign.UNSURE): (stage, Effect.NONE, Wave._stay) for stage in Stage},
-    **{(stage, Sign.WORSE): (Stage.UNDONE, Effect.UNDO, Wave._none) for stage in Stage},
-    (Stage.FIRST, Sign.FINE): (Stage.MORE, Effect.WIDEN, Wave._more),
-    (Stage.MORE, Sign.FINE): (Stage.ALL, Effect.WIDEN, Wave._all),
-    (Stage.ALL, Sign.FINE): (Stage.DONE, Effect.FINISH, Wave._all),
-    (Stage.HELD, Sign.FINE): (Stage.MORE, Effect.WIDEN, Wave._more),
-    (Stage.FIRST, Sign.LONG): (Stage.HELD, Effect.HOLD, Wave._stay),
-    (Stage.MORE, Sign.LONG): (Stage.HELD, Effect.HOLD, Wave._stay),
-    (Stage.ALL, Sign.LONG): (Stage.DONE, Effect.FINISH, Wave._all),
-    (Stage.HELD, Sign.LONG): (Stage.UNDONE, Effect.UNDO, Wave._none),
+_Transition = tuple[Stage, Effect, Callable[[Wave], None]]
+TRANSITIONS: dict[tuple[Stage, TestResult], _Transition] = {
+    **{(stage, TestResult.UNDECIDED): (stage, Effect.NONE, Wave._keep_gateways) for stage in Stage},
+    **{(stage, TestResult.WORSE): (Stage.UNDONE, Effect.UNDO, Wave._no_gateways) for stage in Stage},
+    (Stage.FIRST, TestResult.NOT_WORSE): (Stage.MORE, Effect.WIDEN, Wave._second_stage),
+    (Stage.MORE, TestResult.NOT_WORSE): (Stage.ALL, Effect.WIDEN, Wave._all_gateways),
+    (Stage.ALL, TestResult.NOT_WORSE): (Stage.DONE, Effect.FINISH, Wave._all_gateways),
+    (Stage.HELD, TestResult.NOT_WORSE): (Stage.MORE, Effect.WIDEN, Wave._second_stage),
+    (Stage.FIRST, TestResult.TIMED_OUT): (Stage.HELD, Effect.HOLD, Wave._keep_gateways),
+    (Stage.MORE, TestResult.TIMED_OUT): (Stage.HELD, Effect.HOLD, Wave._keep_gateways),
+    (Stage.ALL, TestResult.TIMED_OUT): (Stage.DONE, Effect.FINISH, Wave._all_gateways),
+    (Stage.HELD, TestResult.TIMED_OUT): (Stage.UNDONE, Effect.UNDO, Wave._no_gateways),
     **{
-        (stage, sign): (stage, Effect.NONE, Wave._stay)
+        (stage, result): (stage, Effect.NONE, Wave._keep_gateways)
         for stage in (Stage.DONE, Stage.UNDONE)
-        for sign in Sign
+        for result in TestResult
     },
 }
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -7,9 +7,15 @@
 from hypothesis import strategies as st
 
 from rushladder.gateways.diff import AdminState, Key, Line, apply_commands, read_lines, server_commands
-from rushladder.gateways.election import Effect, HolderElection, HolderState, Word, read_word
-from rushladder.gateways.meter import Birth, Meter, Sums, mean_of_new
-from rushladder.gateways.rounding import FULL, round_pool
+from rushladder.gateways.election import (
+    Effect,
+    HolderElection,
+    HolderState,
+    HolderRecord,
+    parse_holder_record,
+)
+from rushladder.gateways.meter import ProcessIdentity, Meter, Counters, mean_of_new_txns
+from rushladder.gateways.rounding import MAX_WEIGHT, round_pool
 from rushladder.runtime.grammar import Command, csv
 
 SECOND = 10_000
@@ -24,7 +30,7 @@
     ) -> None:
         rounded, scale = round_pool(lines, cold, scale)
         self.assertEqual(set(rounded), set(lines))
-        self.assertTrue(all(0 <= figure <= FULL for figure in rounded.values()))
+        self.assertTrue(all(0 <= figure <= MAX_WEIGHT for figure in rounded.values()))
         self.assertTrue(any(rounded.values()))
         self.assertTrue(all(rounded[line] for line in lines if line not in cold))
         if set(lines) - cold:
@@ -57,11 +63,11 @@
         )
 
     def poll(self, number: int, delay: int = 0) -> Effect:
-        asked, word = self.now, read_word(self.word)
+        asked, word = self.now, parse_holder_record(self.word)
         self.now += delay
         effect = self.views[number].read(word, asked, self.now)
         if effect not in (Effect.NONE, Effect.END):
-            self.word = str(self.views[number].word())
+            self.word = str(self.views[number].record())
         return effect
 
     def second(self, awake: set[int]) -> None:
@@ -101,7 +107,7 @@
         world = Variable("aa")
         for _ in range(4):
             world.second({0})
-        world.word = str(Word(0, "m1", "a", 9))
+        world.word = str(HolderRecord(0, "m1", "a", 9))
         self.assertEqual(world.poll(0), Effect.REPAIR)
         self.assertIn("/m0/", world.word)
 
@@ -161,7 +167,7 @@
                 elif name == "slow":
                     world.poll(who, delay=many)
                 else:
-                    world.views[who].lost()
+                    world.views[who].connection_lost()
                 self.assertLessEqual(len(world.senders()), 1)
         for _ in range(40):
             world.second({0, 1, 2})
@@ -178,25 +184,25 @@
 
 class MeterStories(unittest.TestCase):
     def test_differences_and_the_first_poll_that_covers_nothing(self) -> None:
-        meter, birth = Meter(), Birth("1", 0)
+        meter, birth = Meter(), ProcessIdentity("1", 0)
         self.assertEqual(meter.poll(row(100, 50), birth, SECOND), ({}, 0))
         met, span = meter.poll(row(110, 60, 2), birth, 2 * SECOND)
-        self.assertEqual((met["p", "s"].many, met["p", "s"].voided, span), (12, 2, SECOND))
+        self.assertEqual((met["p", "s"].count, met["p", "s"].voided, span), (12, 2, SECOND))
         self.assertAlmostEqual(met["p", "s"].time, (110 * 60 - 100 * 50) * 10)
 
     def test_a_restart_counts_from_the_start_and_cleared_sums_from_there(self) -> None:
         meter = Meter()
-        meter.poll(row(100, 50), Birth("1", 0), 10 * SECOND)
-        met, span = meter.poll(row(7, 40), Birth("2", 105_000), 11 * SECOND)
-        self.assertEqual((met["p", "s"].many, span), (7, 5_000))
-        met, span = meter.poll(row(3, 40), Birth("2", 105_000), 12 * SECOND)
-        self.assertEqual((met["p", "s"].many, span), (3, SECOND))
+        meter.poll(row(100, 50), ProcessIdentity("1", 0), 10 * SECOND)
+        met, span = meter.poll(row(7, 40), ProcessIdentity("2", 105_000), 11 * SECOND)
+        self.assertEqual((met["p", "s"].count, span), (7, 5_000))
+        met, span = meter.poll(row(3, 40), ProcessIdentity("2", 105_000), 12 * SECOND)
+        self.assertEqual((met["p", "s"].count, span), (3, SECOND))
 
     def test_more_in_the_new_process_than_in_the_old_is_still_a_restart(self) -> None:
         meter = Meter()
-        meter.poll(row(5, 50), Birth("1", 0), 10 * SECOND)
-        met, _ = meter.poll(row(9, 40), Birth("2", 100_000), 11 * SECOND)
-        self.assertEqual(met["p", "s"].many, 9)
+        meter.poll(row(5, 50), ProcessIdentity("1", 0), 10 * SECOND)
+        met, _ = meter.poll(row(9, 40), ProcessIdentity("2", 100_000), 11 * SECOND)
+        self.assertEqual(met["p", "s"].count, 9)
 
     @settings(derandomize=True, deadline=None)
     @given(st.floats(50, 2000), st.integers(4, 60), st.integers(1100, 9000))
@@ -206,11 +212,11 @@
         sliding = 300.0
         for _ in range(new):
             sliding += (level - sliding) / 1024
-        before, after = Sums(old, 0, 0, 300.0), Sums(old + new, 0, 0, sliding)
-        self.assertAlmostEqual(mean_of_new(before, after), level, delta=1e-3 * level)
+        before, after = Counters(old, 0, 0, 300.0), Counters(old + new, 0, 0, sliding)
+        self.assertAlmostEqual(mean_of_new_txns(before, after), level, delta=1e-3 * level)
 
     def test_rounding_errors_cancel_over_polls(self) -> None:
-        meter, birth, sliding, time = Meter(), Birth("1", 0), 300.0, 0.0
+        meter, birth, sliding, time = Meter(), ProcessIdentity("1", 0), 300.0, 0.0
         for turn in range(200):
             for _ in range(10 if turn else 0):
                 sliding += (400.0 - sliding) / 1024
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from rushladder.guard.admission import Admission, Close, Gate, Line, Open, Part, Reason, Verdict
+from rushladder.guard.admission import Admission, Close, Gate, Line, Open, Change, Reason, Verdict
 from rushladder.guard.limit_shares import limit_shares
 from rushladder.guard.projection import LoadProjection, Pool, Server, open_to
-from rushladder.guard.history import KEPT, History
+from rushladder.guard.history import MAX_KEPT, History
 from rushladder.guard.table_guard import TableGuard
 from rushladder.guard.waves import Arm, Effect, Stage, Wave
 from rushladder.interface import Product, Repeat
@@ -59,7 +59,7 @@
                     )
         self.projection.commit()
         self.guard = Admission(self.projection)
-        self.guard.demand_at = self.now
+        self.guard.demand_updated_at = self.now
 
     def set_up(self, text: str) -> None:
         words = text.split()
@@ -69,11 +69,11 @@
             self.projection.servers[words[1]].connections = int(words[2])
         elif words[0] == "age":
             self.now += int(words[1]) * SECOND
-            self.guard.demand_at = self.now
+            self.guard.demand_updated_at = self.now
         elif words[0] == "stale":
-            self.guard.demand_at = None
+            self.guard.demand_updated_at = None
         else:
-            self.guard.judge([(part(text),)], self.now)
+            self.guard.judge([(parse_change(text),)], self.now)
 
     def word(self, verdict: Verdict) -> str:
         if not verdict.refused:
@@ -81,7 +81,7 @@
         return verdict.refused[0].reason.value + ("+accept" if verdict.accepted else "")
 
 
-def part(text: str) -> Part:
+def parse_change(text: str) -> Change:
     kind, *words = text.split()
     if kind == "line":
         return Line(words[0], words[1], float(words[2]))
@@ -114,7 +114,7 @@
         fleet = make()
         for text in setup:
             fleet.set_up(text)
-        got = fleet.word(fleet.guard.judge([tuple(part(text) for text in change)], fleet.now))
+        got = fleet.word(fleet.guard.judge([tuple(parse_change(text) for text in change)], fleet.now))
         if got != word:
             found.append(f"{name}: {got}, not {word}")
     return found
@@ -133,7 +133,7 @@
     def test_the_least_change_that_is_told_is_accepted_and_a_tenth_more_is_not(self) -> None:
         fleet = Fleet()
         refusal = fleet.guard.judge([(Line("ask-a", "a4", 40.0),)], fleet.now).refused[0]
-        least = float(refusal.least.split()[3])
+        least = float(refusal.acceptable.split()[3])
         self.assertTrue(fleet.guard.judge([(Line("ask-a", "a4", 1.1 * least),)], fleet.now).refused)
         self.assertFalse(fleet.guard.judge([(Line("ask-a", "a4", 0.99 * least),)], fleet.now).refused)
 
@@ -158,7 +158,7 @@
         self.assertEqual({fill.pool for fill in verdict.fills}, {"ask-a", "pay-a", "map-a"})
         self.assertTrue(all(fill.server[0] == "b" and fill.server != "b4" for fill in verdict.fills))
         self.assertEqual(
-            fleet.projection.pools["home-a"].many, 0
+            fleet.projection.pools["home-a"].usable_count, 0
         )  # nobody there may be asked: rule 1 does not bind
 
     def test_two_halves_that_are_only_together_fatal_are_each_judged_beside_the_other(self) -> None:
@@ -173,7 +173,7 @@
 
     def test_the_modules_own_orders_are_judged_with_a_stale_view_too(self) -> None:
         fleet = Fleet()
-        fleet.guard.demand_at = None
+        fleet.guard.demand_updated_at = None
         self.assertFalse(fleet.guard.judge([(Line("ask-a", "a1", 12.0),)], fleet.now, trusted=True).refused)
         self.assertTrue(
             fleet.guard.judge([(Line("ask-a", "a1", math.nan),)], fleet.now, trusted=True).refused
@@ -311,21 +311,21 @@
         broken = [
             name
             for name in (
-                "_known",
-                "_figure",
-                "_open",
-                "_further",
-                "_empty",
-                "_over",
-                "_cold",
-                "_limit",
-                "_connections",
+                "_check_known",
+                "_check_value",
+                "_check_open",
+                "_check_retry",
+                "_check_not_empty",
+                "_check_max_share",
+                "_check_cold_allowance",
+                "_check_limit",
+                "_check_connections",
             )
         ]
         seeded.shuffle(broken)
         import rushladder.guard.admission as module
 
-        tables = ("READING", "POOL_LOOKS", "SERVER_LOOKS")
+        tables = ("CHANGE_CHECKS", "POOL_CHECKS", "SERVER_CHECKS")
         kept = {table: getattr(module, table) for table in tables}
         for name in broken:
             check = getattr(Admission, name)
@@ -342,19 +342,19 @@
 
     def test_each_broken_figure_is_caught(self) -> None:
         for more in (
-            {"takes_over": 0.99},
-            {"takes_over": 0.3},
+            {"max_share": 0.99},
+            {"max_share": 0.3},
             {"headroom": 1.0},
             {"headroom": 3.0},
-            {"connections_per_txn": 0.0},
-            {"connections_per_txn": 20.0},
+            {"connection_time": 0.0},
+            {"connection_time": 20.0},
         ):
 
             class Broken(Fleet):
                 def __init__(self, figures: dict[str, float] = more) -> None:
                     super().__init__()
                     self.guard = Admission(self.projection, **figures)
-                    self.guard.demand_at = self.now
+                    self.guard.demand_updated_at = self.now
 
             self.assertTrue(wrong(Broken), more)
 
@@ -389,7 +389,7 @@
     def test_names_that_come_and_go_leave_nothing_behind(self) -> None:
         table_guard = TableGuard(Random(1).random)
         for turn in range(500):
-            table_guard.server(
+            table_guard.update_server(
                 f"s{turn}",
                 "a",
                 "big",
@@ -400,14 +400,14 @@
                 cold_time=1,
                 cold_from=1.0,
             )
-            table_guard.forget(f"s{turn}")
-            table_guard.period({}, turn)
-        self.assertEqual((len(table_guard.projection.servers), len(table_guard._stated)), (0, 0))
+            table_guard.remove_server(f"s{turn}")
+            table_guard.end_period({}, turn)
+        self.assertEqual((len(table_guard.projection.servers), len(table_guard._stated_limits)), (0, 0))
 
     def test_a_change_that_demand_has_outgrown_on_its_way_is_taken_back(self) -> None:
         table_guard, product = TableGuard(Random(1).random), PRODUCTS["ask"][0]
         for k in range(4):
-            table_guard.server(
+            table_guard.update_server(
                 f"s{k}",
                 "a",
                 "big",
@@ -418,12 +418,12 @@
                 cold_time=1,
                 cold_from=1.0,
             )
-        table_guard.demand("0", product, "a", 60.0, 1)
-        self.assertIsNone(table_guard.table("0", [product], "a", {f"s{k}": 10.0 for k in range(4)}, 1))
+        table_guard.update_demand("0", product, "a", 60.0, 1)
+        self.assertIsNone(table_guard.check_table("0", [product], "a", {f"s{k}": 10.0 for k in range(4)}, 1))
         table_guard.propose("ops", "more for s0", [(("ask", "s0"), 2.0)], [f"g{k}" for k in range(9)], 1)
         self.assertEqual(table_guard.version_of("none of the wave"), 0)
-        table_guard.demand("0", product, "a", 120.0, 2)
-        self.assertIs(table_guard.period({}, 2), Effect.UNDO)
+        table_guard.update_demand("0", product, "a", 120.0, 2)
+        self.assertIs(table_guard.end_period({}, 2), Effect.UNDO)
         self.assertEqual((table_guard.history.current, table_guard.factor("ask", "s0")), (0, 1.0))
         self.assertIn("over its 40.0", table_guard.history[1].state)
 
@@ -446,7 +446,7 @@
         for second in range(1, 240):
             many = 8 * len(wave.changed)
             effects.append(
-                wave.period(
+                wave.end_period(
                     [self.arm(draw, many, changed_bad, mean)],
                     [self.arm(draw, 80 - many, other_bad)],
                     second * SECOND,
@@ -480,7 +480,7 @@
     def test_without_txns_it_holds_and_in_the_end_goes_back(self) -> None:
         wave, effects = Wave(1, ["g1", "g2"], 0.01, 0), list[Effect]()
         for second in range(1, 80):
-            effects.append(wave.period([], [], second * SECOND))
+            effects.append(wave.end_period([], [], second * SECOND))
         self.assertEqual(
             [effect for effect in effects if effect is not Effect.NONE], [Effect.HOLD, Effect.UNDO]
         )
@@ -493,7 +493,7 @@
 
     def test_a_gateway_that_is_lost_leaves_the_wave(self) -> None:
         wave = Wave(1, ["g1", "g2", "g3"], 0.01, 0)
-        wave.lost("g1")
+        wave.remove_gateway("g1")
         self.assertEqual(wave.changed, ["g2"])
 
 
@@ -504,14 +504,14 @@
         history.accept("ops", "and c2", {("pay", "c1"): 0.5, ("ask", "c2"): 2.0}, 2)
         self.assertEqual([(v.number, v.parent) for v in history.all()], [(0, 0), (1, 0), (2, 1)])
         self.assertEqual(history.diff(1, 2), [(("ask", "c2"), 1.0, 2.0)])
-        self.assertEqual(history.back(2, "taken back: worse").number, 1)
+        self.assertEqual(history.revert(2, "taken back: worse").number, 1)
         self.assertRaises(KeyError, history.diff, 1, 9)
 
     def test_a_runaway_script_forgets_the_oldest_and_never_what_stands(self) -> None:
         history = History()
         for turn in range(1000):
             history.accept("script", "", {("pay", "c1"): 1.0 + turn}, turn)
-        self.assertLessEqual(len(history.all()), KEPT)
+        self.assertLessEqual(len(history.all()), MAX_KEPT)
         self.assertEqual(history[history.current].factors, {("pay", "c1"): 1000.0})
 
 
