--- a/rushladder/core/message_cap.py
+++ b/rushladder/core/message_cap.py
@@ -7,7 +7,7 @@
 
 
 class MessageCap:
-    """A sliding-window rate limiter; keeps the send times of at limit `cap` messages.
+    """A sliding-window rate limiter; keeps the send times of at most `cap` messages.
 
     cap: the maximum of messages within `span` (tenths of a millisecond); 0: unlimited.
     """
--- a/rushladder/gateways/diff.py
+++ b/rushladder/gateways/diff.py
@@ -42,10 +42,8 @@
     maps: dict[str, dict[str, str]] = attrs.field(factory=dict)
 
 
-MAINT_BITS, DRAIN_BITS = (
-    0x01 | 0x02 | 0x04 | 0x20 | 0x40,
-    0x08 | 0x10,
-)  # of srv_admin_state: forced, inherited, from the configuration
+# Bits of srv_admin_state: forced, inherited, and from the configuration.
+MAINT_BITS, DRAIN_BITS = 0x01 | 0x02 | 0x04 | 0x20 | 0x40, 0x08 | 0x10
 
 
 def read_lines(answer: str) -> dict[Key, Line]:
--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -38,9 +38,8 @@
 COMMANDS_PER_LINE = 60  # far below the maximum line length, with names of 64 characters
 # s between two connection attempts: short for a gateway that restarts, cheap for one that stays down.
 MIN_RETRY_DELAY, MAX_RETRY_DELAY = 0.2, 2.0
-SWEEP_INTERVAL = (
-    30.0  # s between removals of unlisted servers: longer than any expiry, so their txns have ended
-)
+# s between removals of unlisted servers: longer than any expiry, so that their txns have ended.
+SWEEP_INTERVAL = 30.0
 MAX_RESEND_DELAY = 30.0  # s between two attempts at commands that the gateway refuses
 
 
--- a/rushladder/gateways/meter.py
+++ b/rushladder/gateways/meter.py
@@ -129,7 +129,7 @@
         """
         rows = dict(parse_rows(answer))
         first = self._process is None
-        # The uptime is given in whole seconds, so the start time may differ by a second or two.
+        # The uptime has a resolution of one second, so small differences of the start time are no restart.
         restarted = (
             not first
             and self._process is not None
--- a/rushladder/guard/admission.py
+++ b/rushladder/guard/admission.py
@@ -19,9 +19,8 @@
 from rushladder.interface import Repeat, Retry
 
 MAX_VALUE = 1e9  # of a weight or level: far above any sum of listed sizes
-MAX_DEMAND_AGE = (
-    100_000  # 10 s, three polls and a report cycle; older measurements say little about the present
-)
+# 10 s, three polls and a report cycle: older measurements of demand say little about the present.
+MAX_DEMAND_AGE = 100_000
 
 
 class Reason(Enum):
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -37,8 +37,8 @@
     UNDONE = "taken back"
 
 
-class TestResult(Enum):
-    """The result of the sequential test after a period."""
+class Decision(Enum):
+    """The decision of the sequential test after a period."""
 
     WORSE = "significantly worse"
     NOT_WORSE = "not worse"
@@ -82,7 +82,7 @@
     def __init__(self) -> None:
         self.ratio, self.txns = 0.0, 0.0
 
-    def end_period(self, changed: Sequence[Arm], others: Sequence[Arm], share_before: float) -> TestResult:
+    def end_period(self, changed: Sequence[Arm], others: Sequence[Arm], share_before: float) -> Decision:
         """Adds one period, with an arm per gateway and product.
 
         share_before: the changed gateways' share of bad txns before the change.
@@ -90,20 +90,19 @@
         count, bad = sum(arm.count for arm in changed), sum(arm.bad for arm in changed)
         control_count = sum(arm.count for arm in others)
         others_share = sum(arm.bad for arm in others) / control_count if control_count else share_before
-        expected_share = min(
-            0.9, max(MIN_BAD_SHARE, others_share, share_before)
-        )  # the worse of others and before
+        # At least the others' present share and the changed gateways' earlier one.
+        expected_share = min(0.9, max(MIN_BAD_SHARE, others_share, share_before))
         worse_share = min(0.95, expected_share + max(MIN_INCREASE, 0.5 * expected_share))
         self.ratio += bad * math.log(worse_share / expected_share) + (count - bad) * math.log(
             (1 - worse_share) / (1 - expected_share)
         )
         self.txns += count
         if self.ratio >= math.log((1 - ERROR_RATE) / ERROR_RATE):
-            return TestResult.WORSE
+            return Decision.WORSE
         return (
-            TestResult.NOT_WORSE
+            Decision.NOT_WORSE
             if self.ratio <= math.log(ERROR_RATE / (1 - ERROR_RATE))
-            else TestResult.UNDECIDED
+            else Decision.UNDECIDED
         )
 
     def probability_worse(self) -> float:
@@ -132,10 +131,10 @@
         return self.stage in (Stage.DONE, Stage.UNDONE)
 
     def end_period(self, changed: Sequence[Arm], others: Sequence[Arm], now: int) -> Effect:
-        result = self.test.end_period(changed, others, self._share_before)
-        if result is TestResult.UNDECIDED and now - self._stage_since >= STAGE_TIMEOUT:
-            result = TestResult.TIMED_OUT
-        return self._transition(result, now)
+        decision = self.test.end_period(changed, others, self._share_before)
+        if decision is Decision.UNDECIDED and now - self._stage_since >= STAGE_TIMEOUT:
+            decision = Decision.TIMED_OUT
+        return self._transition(decision, now)
 
     def remove_gateway(self, gateway: str) -> None:
         """Removes a gateway that left; it gets the change on its return if that is accepted by then."""
@@ -144,9 +143,9 @@
             self._gateways.remove(gateway)
             self._changed_count = max(self._changed_count, min(1, len(self._gateways)))
 
-    def _transition(self, result: TestResult, now: int) -> Effect:
+    def _transition(self, decision: Decision, now: int) -> Effect:
         before = self.stage
-        self.stage, effect, action = TRANSITIONS[self.stage, result]
+        self.stage, effect, action = TRANSITIONS[self.stage, decision]
         action(self)
         if self.stage is not before:
             self._stage_since, self.test = now, SequentialTest() if not self.finished else self.test
@@ -166,20 +165,20 @@
 
 
 _Transition = tuple[Stage, Effect, Callable[[Wave], None]]
-TRANSITIONS: dict[tuple[Stage, TestResult], _Transition] = {
-    **{(stage, TestResult.UNDECIDED): (stage, Effect.NONE, Wave._keep_gateways) for stage in Stage},
-    **{(stage, TestResult.WORSE): (Stage.UNDONE, Effect.UNDO, Wave._no_gateways) for stage in Stage},
-    (Stage.FIRST, TestResult.NOT_WORSE): (Stage.MORE, Effect.WIDEN, Wave._second_stage),
-    (Stage.MORE, TestResult.NOT_WORSE): (Stage.ALL, Effect.WIDEN, Wave._all_gateways),
-    (Stage.ALL, TestResult.NOT_WORSE): (Stage.DONE, Effect.FINISH, Wave._all_gateways),
-    (Stage.HELD, TestResult.NOT_WORSE): (Stage.MORE, Effect.WIDEN, Wave._second_stage),
-    (Stage.FIRST, TestResult.TIMED_OUT): (Stage.HELD, Effect.HOLD, Wave._keep_gateways),
-    (Stage.MORE, TestResult.TIMED_OUT): (Stage.HELD, Effect.HOLD, Wave._keep_gateways),
-    (Stage.ALL, TestResult.TIMED_OUT): (Stage.DONE, Effect.FINISH, Wave._all_gateways),
-    (Stage.HELD, TestResult.TIMED_OUT): (Stage.UNDONE, Effect.UNDO, Wave._no_gateways),
+TRANSITIONS: dict[tuple[Stage, Decision], _Transition] = {
+    **{(stage, Decision.UNDECIDED): (stage, Effect.NONE, Wave._keep_gateways) for stage in Stage},
+    **{(stage, Decision.WORSE): (Stage.UNDONE, Effect.UNDO, Wave._no_gateways) for stage in Stage},
+    (Stage.FIRST, Decision.NOT_WORSE): (Stage.MORE, Effect.WIDEN, Wave._second_stage),
+    (Stage.MORE, Decision.NOT_WORSE): (Stage.ALL, Effect.WIDEN, Wave._all_gateways),
+    (Stage.ALL, Decision.NOT_WORSE): (Stage.DONE, Effect.FINISH, Wave._all_gateways),
+    (Stage.HELD, Decision.NOT_WORSE): (Stage.MORE, Effect.WIDEN, Wave._second_stage),
+    (Stage.FIRST, Decision.TIMED_OUT): (Stage.HELD, Effect.HOLD, Wave._keep_gateways),
+    (Stage.MORE, Decision.TIMED_OUT): (Stage.HELD, Effect.HOLD, Wave._keep_gateways),
+    (Stage.ALL, Decision.TIMED_OUT): (Stage.DONE, Effect.FINISH, Wave._all_gateways),
+    (Stage.HELD, Decision.TIMED_OUT): (Stage.UNDONE, Effect.UNDO, Wave._no_gateways),
     **{
-        (stage, result): (stage, Effect.NONE, Wave._keep_gateways)
+        (stage, decision): (stage, Effect.NONE, Wave._keep_gateways)
         for stage in (Stage.DONE, Stage.UNDONE)
-        for result in TestResult
+        for decision in Decision
     },
 }
