--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -56,6 +56,7 @@
         self._rounded, self._scales = dict[tuple[Product, int], dict[Server, int]](), dict[Product, float]()
 
     def set_weight(self, server: Server, weight: float) -> None:
+        """Sets a line as ordered; 0 removes it."""
         if weight:  # not validated here: the guard refuses invalid weights
             self.lines[server] = weight
         else:
@@ -115,6 +116,7 @@
         return self._message_cap.next(now, self.urgent)
 
     def record_sent(self, now: int, lines: int) -> None:
+        """Counts a message against the cap; an empty one is not sent and not counted."""
         if lines:
             self._message_cap.sent(now)
             self.messages += 1
@@ -207,6 +209,7 @@
         return [session for session in pending if self.sessions.get(session.gateway) is session]
 
     def next_wake(self) -> int | None:
+        """When the next reminder is due, or None."""
         return self._reminders.next()
 
     def add_gateway(self, gateway: Gateway, held: GatewayContent, capped: bool = True) -> GatewaySession:
@@ -222,6 +225,7 @@
         return session
 
     def remove_gateway(self, gateway: Gateway) -> None:
+        """Removes a gateway that this manager no longer holds."""
         session = self.sessions.pop(gateway, None)
         if session is not None:
             self.table_guard.remove_gateway(gateway.name)
@@ -411,6 +415,7 @@
         return sweep_commands(session.held.lines, self.roster.listed, used)
 
     def maps(self, session: GatewaySession) -> dict[str, dict[str, str]]:
+        """The desired content of the levels and retries maps of a gateway."""
         levels, retries = dict[str, str](), dict[str, str]()
         for product, table in session.tables.items():
             if product in table.gates:
--- a/rushladder/core/roster.py
+++ b/rushladder/core/roster.py
@@ -110,6 +110,7 @@
         return Listing(ListKind.CHANGES, self.version, [self._entry(self[name])])
 
     def full(self, kind: ListKind = ListKind.FULL) -> Listing[Server]:
+        """The event with the whole list; a listing of kind FULL leaves out collectors that are gone."""
         return Listing(
             kind,
             self.version,
--- a/rushladder/core/traffic.py
+++ b/rushladder/core/traffic.py
@@ -58,6 +58,7 @@
                 sums[index] += value
 
     def remove_gateway(self, gateway: Gateway) -> None:
+        """Drops the arrivals of a gateway that left."""
         self._arrivals = {key: sums for key, sums in self._arrivals.items() if key[0] is not gateway}
 
     def take_events(self, hints: Mapping[str, float] | None = None) -> list[Event]:
--- a/rushladder/gateways/election.py
+++ b/rushladder/gateways/election.py
@@ -128,6 +128,7 @@
         return self.state is HolderState.HOLDING and now <= self._confirmed_at + self._lease
 
     def connection_lost(self) -> Effect:
+        """Processes the loss of the connection to the gateway."""
         return self._transition(Observation.DISCONNECTED, 0)
 
     def read(self, record: HolderRecord | None, asked_at: int, now: int) -> Effect:
--- a/rushladder/guard/history.py
+++ b/rushladder/guard/history.py
@@ -88,6 +88,7 @@
         return self._versions[self.current]
 
     def refuse(self, who: str, what: str, now: int) -> None:
+        """Records a refused change."""
         self.refused.append(RefusedChange(now, who, what))
         self.refusal_count += 1
 
--- a/rushladder/guard/projection.py
+++ b/rushladder/guard/projection.py
@@ -126,6 +126,7 @@
         self.changed_servers.clear()
 
     def commit(self) -> None:
+        """Makes the changes since the last commit permanent."""
         self._undo_log.clear()
         self.changed_pools.clear()
         self.changed_servers.clear()
--- a/rushladder/guard/table_guard.py
+++ b/rushladder/guard/table_guard.py
@@ -93,6 +93,7 @@
             self._limit_shares.pop(name, None)
 
     def pool(self, table: str, product: Product, zone: str) -> Pool:
+        """The pool of a table and product; created if it does not exist."""
         name = f"{product.name}@{table}"
         pool = self.projection.pools.get(name)
         if pool is None:
@@ -153,6 +154,7 @@
     def check_gate(
         self, table: str, product: Product, zone: str, level: float, retry: int, now: int
     ) -> Refusal | None:
+        """Checks a level and retry rule that the module ordered; returns the refusal, if any."""
         pool = self.pool(table, product, zone)
         verdict = self.admission.judge([(Gate(pool.name, level, retry),)], now, trusted=True)
         if verdict.refused:
@@ -162,6 +164,7 @@
     # Factors.
 
     def factor(self, product: str, server: str, version: int | None = None) -> float:
+        """The factor of a product and server in a version; None: the current version."""
         return self._version(version).factors.get((product, server), 1.0)
 
     def _version(self, number: int | None) -> Version:
@@ -315,6 +318,7 @@
         return sum(baseline.bad for baseline in baselines) / count if count else 0.0
 
     def remove_gateway(self, gateway: str) -> None:
+        """Forgets a gateway that left, also in the wave in progress."""
         self._baselines.pop(gateway, None)
         if self.wave is not None and not self.wave.finished:
             self.wave.remove_gateway(gateway)
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -128,9 +128,11 @@
 
     @property
     def finished(self) -> bool:
+        """Whether the wave is done or reverted."""
         return self.stage in (Stage.DONE, Stage.UNDONE)
 
     def end_period(self, changed: Sequence[Arm], others: Sequence[Arm], now: int) -> Effect:
+        """Adds the outcomes of one period and advances the stage by the decision of the test."""
         decision = self.test.end_period(changed, others, self._share_before)
         if decision is Decision.UNDECIDED and now - self._stage_since >= STAGE_TIMEOUT:
             decision = Decision.TIMED_OUT
