--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet import reactor as _reactor
 
-from rushladder.conf.reader import read
+from rushladder.conf.reader import parse_config
 from rushladder.core.host import Message
 from rushladder.gateways.diff import server_commands
 from rushladder.gateways.driver import GatewayDriver
@@ -27,7 +27,7 @@
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
 from rushladder.standins.gateway import GatewayState
-from rushladder.timing import tenths
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 PRODUCTS = ("balance", "mandate", "collect")
@@ -108,7 +108,7 @@
             name = command.words[2]
             if command.words[0] == "add" and tuple(name.split("/")) in port.held.lines:
                 command = Command(("set", "server", name, "weight", "0"))
-            await client.ask(command)
+            await client.send(command)
         await super()._send_commands(client, message)
         return refused
 
@@ -131,7 +131,7 @@
         found = dict[str, float]()
         try:
             time.sleep(1.5 + many / 200)
-            manager = Manager(read(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
+            manager = Manager(parse_config(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
             if plain:
                 for driver in manager.drivers:
                     driver.__class__ = PlainDriver
@@ -144,10 +144,10 @@
 
             def churn(turn: int) -> None:
                 manager.core.apply_times.clear()
-                now = tenths(reactor)
+                now = clock_tenths(reactor)
                 for k in range(0, servers, 5):
                     state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
-                    manager.listing(manager.roster.change(f"c{k}", now, availability=state))
+                    manager.apply_list_change(manager.roster.change(f"c{k}", now, availability=state))
 
             def collect() -> None:
                 for elapsed in manager.core.apply_times:
@@ -170,7 +170,7 @@
             close, message, told = manager.reports.take_events, manager.core.next_message, [0]
 
             def closed(hints: Any = None) -> list[Any]:
-                told[0] = tenths(reactor)
+                told[0] = clock_tenths(reactor)
                 return close(hints)
 
             def sent(now: int, session: Any) -> Message:
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -9,10 +9,10 @@
 
 from rushladder.guard.admission import Admission, Line
 from rushladder.guard.projection import LoadProjection, Pool, Server
-from rushladder.interface import Product, Repeat
+from rushladder.interface import Idempotency, Product
 
 PRODUCTS = [
-    Product(name, 10_000, 30_000, 1.0, 0.1, Repeat.INQUIRY_LIKE, "all", 0) for name in ("x", "y", "z")
+    Product(name, 10_000, 30_000, 1.0, 0.1, Idempotency.INQUIRY_LIKE, "all", 0) for name in ("x", "y", "z")
 ]
 TEAM = 12  # servers of a table, as the module shares large regions out
 
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -193,12 +193,12 @@
         """Passes one batch of events to the module, after the reminders that are due by `now`."""
         self._now = max(now, self._now)
         for reminder in self._reminders.due(self._now):
-            self.manager.take(reminder)
+            self.manager.handle(reminder)
         for event in events:
-            self.manager.take(event)
+            self.manager.handle(event)
             if isinstance(event, Listing):
                 self._listing(event)
-        self.manager.close()
+        self.manager.end_batch()
         self._check_changed_tables()
         self._pending_sessions |= self._touched_sessions
         self._touched_sessions.clear()
@@ -219,7 +219,7 @@
         """
         self.remove_gateway(gateway)
         session = GatewaySession(
-            gateway, held, MessageCap(self._channel.message_cap if capped else 0, self._channel.cap_span)
+            gateway, held, MessageCap(self._channel.message_cap if capped else 0, self._channel.cap_window)
         )
         self.sessions[gateway] = session
         return session
@@ -276,7 +276,7 @@
         sums = dict[tuple[SharedTable, Product], float]()
         for session in self.sessions.values():
             for product, table in session.tables.items():
-                count, covered = session.gateway.came[product].total(self._now, 4)
+                count, covered = session.gateway.arrivals[product].total(self._now, 4)
                 rate = (
                     10_000 * count / covered if covered else session.gateway.usual_rate / len(self.products)
                 )
@@ -467,14 +467,14 @@
     def now(self) -> int:
         return self._now
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
         table.set_weight(worker, weight)
         self._changed_tables[table] = None
         self._mark_table_pending(table)
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         table = self._table(tbl)
         for server in list(table.lines):
             table.set_weight(server, 0.0)
@@ -498,7 +498,7 @@
         self._changed_tables[table] = None
         session.gates_pending = True
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
         if out:
             self.withdrawn[worker] = None
@@ -514,10 +514,10 @@
                     self._touched_sessions[session] = None
                     session.mark_pending(product, urgent=True)
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """Does nothing: withdrawals left at a gateway are found when its content is read back."""
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for table in self._tables.values() if tbl is None else (self._table(tbl),):
             for product in products or self.products:
                 zone = next(iter(table.sessions)).gateway.zone if table.sessions else ""
@@ -541,14 +541,14 @@
         assert isinstance(worker, Server)
         self.probes.append(worker)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self.peer_messages.append(data)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """Does nothing: changes of the list are always reported at once."""
 
-    def ask_list(self) -> None:
-        """Does nothing, as `watch`."""
+    def request_list(self) -> None:
+        """Does nothing, as `watch_list`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
--- a/rushladder/gateways/diff.py
+++ b/rushladder/gateways/diff.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rushladder.runtime.grammar import Command, table
+from rushladder.runtime.grammar import Command, parse_table
 
 Key = tuple[str, str]  # backend, server
 
@@ -49,7 +49,7 @@
 def read_lines(answer: str) -> dict[Key, Line]:
     """Parses the answer to `show servers state`. Rows with missing or invalid columns are skipped."""
     lines = dict[Key, Line]()
-    for row in table(answer, None):
+    for row in parse_table(answer, None):
         try:
             bits = int(row["srv_admin_state"])
             admin = (
--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -29,9 +29,9 @@
 from rushladder.gateways.meter import ProcessIdentity, TrafficDelta, Meter
 from rushladder.interface import Event, Joined, Left, Product
 from rushladder.records import Gateway, Server
-from rushladder.runtime.endpoint import RuntimeClient, Silent
-from rushladder.runtime.grammar import Command, fields
-from rushladder.timing import TENTHS, Call, Clock, tenths
+from rushladder.runtime.endpoint import RuntimeClient, NoAnswer
+from rushladder.runtime.grammar import Command, parse_fields
+from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
 HOLDER_VAR, WRITE_VAR = "proc.rushladder_holder", "proc.rushladder_wrote"
 SUCCESS_ANSWERS = ("", "New server registered.\n", "Server deleted.\n")
@@ -114,8 +114,8 @@
         self.session: GatewaySession | None = None
         self._retry_delay, self._resend_after, self._write_number = MIN_RETRY_DELAY, 0.0, 0
         self._sending, self._swept_at = False, clock.seconds()
-        self._send_timer: Call | None = None
-        self._poll_timer: Call | None = None
+        self._send_timer: DelayedCall | None = None
+        self._poll_timer: DelayedCall | None = None
         self._stopped = False
         self.last_write = ""
 
@@ -157,7 +157,7 @@
     async def _initialize(self, client: RuntimeClient) -> None:
         assert client.greeting is not None
         await client.greeting
-        await client.ask(parse_command("experimental-mode on"))
+        await client.send(parse_command("experimental-mode on"))
         self._retry_delay = MIN_RETRY_DELAY
         await self._read(client)
 
@@ -182,7 +182,7 @@
         Deferred.fromCoroutine(coroutine).addErrback(self._failed)  # type: ignore[arg-type]
 
     def _failed(self, failure: Failure) -> None:
-        if failure.check(Silent):
+        if failure.check(NoAnswer):
             return  # reported when the connection ends
         self._report_error(f"gateway {self.gateway.name}: {failure.value}")
         if failure.check(UnexpectedAnswer) is None:
@@ -204,12 +204,12 @@
             )
 
     async def _read(self, client: RuntimeClient) -> None:
-        asked_at = tenths(self._clock)
+        asked_at = clock_tenths(self._clock)
         commands = [parse_command(f"get var {HOLDER_VAR}"), parse_command(f"get var {WRITE_VAR}")]
         if self.election.state is HolderState.HOLDING:
             commands += [parse_command("show info"), parse_command("show stat -1 6 -1")]
-        answers = await client.ask(*commands)
-        now = tenths(self._clock)
+        answers = await client.send(*commands)
+        now = clock_tenths(self._clock)
         effect = self.election.read(parse_holder_record(parse_var(answers[0])), asked_at, now)
         await self._apply_effect(client, effect)
         if self.session is not None and self.election.state is HolderState.HOLDING:
@@ -233,8 +233,8 @@
             return
         self._swept_at = self._clock.seconds()
         commands = self._core.sweep(session)[:COMMANDS_PER_LINE]
-        if commands and self.election.may_send(tenths(self._clock)):
-            answers = await client.ask(*commands)
+        if commands and self.election.may_send(clock_tenths(self._clock)):
+            answers = await client.send(*commands)
             done = [
                 command
                 for command, answer in zip(commands, answers, strict=True)
@@ -248,7 +248,7 @@
             if self.election.state is HolderState.REPLACED:
                 return self._give_way()
         if effect in (Effect.CLAIM, Effect.END_CLAIM, Effect.BEGIN, Effect.HEARTBEAT, Effect.REPAIR):
-            await client.ask(set_var(HOLDER_VAR, str(self.election.record())))
+            await client.send(set_var(HOLDER_VAR, str(self.election.record())))
         if effect is Effect.BEGIN:
             held = await self._read_content(client)
             if self.election.state is HolderState.HOLDING:
@@ -258,7 +258,7 @@
             await self._read_back(client)
 
     async def _read_content(self, client: RuntimeClient) -> GatewayContent:
-        answers = await client.ask(
+        answers = await client.send(
             parse_command("show servers state"),
             parse_command(f"show map {LEVELS_MAP}"),
             parse_command(f"show map {RETRIES_MAP}"),
@@ -277,16 +277,18 @@
             self._core.reset_held_content(self.session, held)
             self._write_number += 1
             self.last_write = str(self._write_record())
-            await client.ask(set_var(WRITE_VAR, self.last_write))
+            await client.send(set_var(WRITE_VAR, self.last_write))
             self.kick()
 
     def _record_traffic(self, info: str, stat: str, asked_at: int) -> None:
-        info_fields = fields(info)
+        info_fields = parse_fields(info)
         uptime = info_fields.get("Uptime_sec", "")
         if not uptime.isdigit():
             raise UnexpectedAnswer(f"no Uptime_sec in the answer to show info: {info[:80]!r}")
         deltas, span = self._meter.poll(
-            stat, ProcessIdentity(info_fields.get("Pid", ""), asked_at - int(uptime) * TENTHS), asked_at
+            stat,
+            ProcessIdentity(info_fields.get("Pid", ""), asked_at - int(uptime) * TENTHS_PER_SECOND),
+            asked_at,
         )
         tries, arrivals = dict[Server, TrafficDelta](), dict[Product, TrafficDelta]()
         for (backend, name), delta in deltas.items():
@@ -345,16 +347,16 @@
 
     def kick(self) -> None:
         """Sends pending updates now, or as soon as the message cap allows."""
-        session, now = self.session, tenths(self._clock)
+        session, now = self.session, clock_tenths(self._clock)
         if session is None or self._sending or self._client is None or not self._client.open:
             return
         due = session.due(now)
         if due is None:
             return
-        due = max(due, int(self._resend_after * TENTHS))
+        due = max(due, int(self._resend_after * TENTHS_PER_SECOND))
         if due > now or not self.election.may_send(now):
             if self._send_timer is None or not self._send_timer.active():
-                wait = max(due - now, 1) / TENTHS if due > now else self._times.poll_interval / 4
+                wait = max(due - now, 1) / TENTHS_PER_SECOND if due > now else self._times.poll_interval / 4
                 self._send_timer = self._clock.callLater(wait, self.kick)
             return
         self._sending = True
@@ -379,7 +381,7 @@
             await self._read_back(client)
             return
         self._retry_delay = MIN_RETRY_DELAY
-        self._core.message_applied(tenths(self._clock), session)
+        self._core.message_applied(clock_tenths(self._clock), session)
         self._give_events()
         self.kick()  # sends orders received in between
 
@@ -391,7 +393,7 @@
         commands = list(message.commands)
         versions = dict[str, str]()
         for name in message.maps:
-            answer = (await client.ask(parse_command(f"prepare map {name}")))[0]
+            answer = (await client.send(parse_command(f"prepare map {name}")))[0]
             match = re.search(r"New version created: (\d+)", answer)
             if match is None:
                 return [answer or f"prepare map {name}: no version in the answer"]
@@ -403,6 +405,6 @@
         commands.append(set_var(WRITE_VAR, self.last_write))
         refusals = list[str]()
         for start in range(0, len(commands), COMMANDS_PER_LINE):
-            answers = await client.ask(*commands[start : start + COMMANDS_PER_LINE])
+            answers = await client.send(*commands[start : start + COMMANDS_PER_LINE])
             refusals += [answer for answer in answers if answer not in SUCCESS_ANSWERS]
         return refusals
--- a/rushladder/gateways/meter.py
+++ b/rushladder/gateways/meter.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 SAMPLES = 1024  # window of the sliding mean, as HAProxy's guide states
 SETTLED = ("hrsp_1xx", "hrsp_2xx", "hrsp_3xx", "hrsp_4xx")
@@ -134,7 +134,8 @@
             not first
             and self._process is not None
             and (
-                process.pid != self._process.pid or abs(process.started - self._process.started) > 2 * TENTHS
+                process.pid != self._process.pid
+                or abs(process.started - self._process.started) > 2 * TENTHS_PER_SECOND
             )
         )
         before = {} if restarted else self._rows
--- a/rushladder/guard/admission.py
+++ b/rushladder/guard/admission.py
@@ -16,7 +16,7 @@
 import attrs
 
 from rushladder.guard.projection import LoadProjection, Pool, Server, open_to
-from rushladder.interface import Repeat, Retry
+from rushladder.interface import Idempotency, Retry
 
 MAX_VALUE = 1e9  # of a weight or level: far above any sum of listed sizes
 # 10 s, three polls and a report cycle: older measurements of demand say little about the present.
@@ -309,7 +309,7 @@
         if not isinstance(change, Gate) or change.retry <= Retry.UNSENT:
             return None
         product = self.projection.pools[change.pool].product
-        if product.repeat is Repeat.ONCE_ONLY:
+        if product.idempotency is Idempotency.ONCE_ONLY:
             return (
                 Reason.FURTHER_TRY,
                 f"{product.name} must never run twice",
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -16,7 +16,7 @@
 )
 from rushladder.gateways.meter import ProcessIdentity, Meter, Counters, mean_of_new_txns
 from rushladder.gateways.rounding import MAX_WEIGHT, round_pool
-from rushladder.runtime.grammar import Command, csv
+from rushladder.runtime.grammar import Command, format_csv
 
 SECOND = 10_000
 pools = st.dictionaries(st.integers(0, 30), st.floats(1e-3, 1e4), min_size=1, max_size=20)
@@ -177,7 +177,7 @@
 
 
 def row(settled: int, mean: int, voided: int = 0) -> str:
-    return csv(
+    return format_csv(
         ("pxname", "svname", "stot", "eresp", "hrsp_2xx", "ttime", "later"),
         [("p", "s", settled, voided, settled, mean, "x")],
     )
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -15,11 +15,11 @@
 from rushladder.guard.history import MAX_KEPT, History
 from rushladder.guard.table_guard import TableGuard
 from rushladder.guard.waves import Arm, Effect, Stage, Wave
-from rushladder.interface import Product, Repeat
+from rushladder.interface import Idempotency, Product
 
 CORPUS = Path(__file__).parent / "guard.corpus"
 SECOND = 10_000
-INQUIRY, ONCE = Repeat.INQUIRY_LIKE, Repeat.ONCE_ONLY
+INQUIRY, ONCE = Idempotency.INQUIRY_LIKE, Idempotency.ONCE_ONLY
 PRODUCTS = {
     "ask": (Product("ask", 5_000, 20_000, 1.0, 0.1, INQUIRY, "all", 0), 60.0),
     "pay": (Product("pay", 10_000, 30_000, 3.0, 0.1, ONCE, "all", 0, writes=True), 30.0),
