--- a/rushladder/guard/table_guard.py
+++ b/rushladder/guard/table_guard.py
@@ -182,7 +182,7 @@
     ) -> Version:
         """Judges an operator's change of factors as a whole. Raises Denied with the reason.
 
-        gateways: all held gateways. A change that moves more than MAX_DIRECT_MOVE is rolled out in waves.
+        gateways: the held gateways affected. A change that moves more than MAX_DIRECT_MOVE goes out in waves.
         """
         if self.wave is not None and not self.wave.finished:
             raise self._deny(
