--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -28,7 +28,7 @@
 from rushladder.interface import Availability
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
-from rushladder.structures.choice import Linear
+from rushladder.structures.weighted_choice import LinearChoice
 from rushladder.timing import tenths
 
 reactor: Any = _reactor
@@ -86,7 +86,7 @@
 
     def choose(asked: Asked, weighed: bool) -> Chosen | None:
         pool = front.pools[asked.product, asked.region]
-        chances = Linear({name: target.weight for name, target in pool.targets.items()})
+        chances = LinearChoice({name: target.weight for name, target in pool.targets.items()})
         names = dict.fromkeys(chances.draw(draw()) for _ in range(2))
         return Chosen([pool.targets[name] for name in names], 2)
 
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -20,7 +20,13 @@
 from rushladder.runtime.endpoint import Level, Refused, Verb, Verbs
 from rushladder.runtime.grammar import Command, csv
 from rushladder.service.manager import Manager
-from rushladder.store.commands import LONGEST, LONGEST_ID, SURE_MOST, Effect, repeatable
+from rushladder.store.commands import (
+    MAX_COMMAND_LENGTH,
+    MAX_ID_LENGTH,
+    DURABLE_TIMEOUT,
+    Effect,
+    is_idempotent,
+)
 from rushladder.store.memory import Kind
 from rushladder.timing import TENTHS, tenths
 
@@ -207,18 +213,18 @@
 
     async def run(self, command: Command, level: Level) -> str:
         words = command.words
-        if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{LONGEST_ID}}}", words[1]):
-            raise Refused(f"once ID COMMAND...; an ID has 1 to {LONGEST_ID} letters, digits, and . : - _")
+        if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{MAX_ID_LENGTH}}}", words[1]):
+            raise Refused(f"once ID COMMAND...; an ID has 1 to {MAX_ID_LENGTH} letters, digits, and . : - _")
         name, inner = words[1], Command(words[2:], command.payload)
         verb = self._verbs.find(inner.words)
         text = " ".join(inner.words)
-        if verb is None or len(text) > LONGEST:
-            raise Refused(f"Unknown command, or over {LONGEST} characters; see 'help'.")
+        if verb is None or len(text) > MAX_COMMAND_LENGTH:
+            raise Refused(f"Unknown command, or over {MAX_COMMAND_LENGTH} characters; see 'help'.")
         if verb.level > level:
             return "Permission denied\n"
         memory = self._manager.memory
         now = memory.now() if memory is not None else 0
-        effect = self._journal.begin(name, text, repeatable(verb.words), now)
+        effect = self._journal.begin(name, text, is_idempotent(verb.words), now)
         if effect is Effect.ANSWER:
             return self._journal[name].answer
         if effect is not Effect.RUN:
@@ -227,7 +233,7 @@
             try:
                 await self._sure(name)
             except Late:
-                self._journal.never_ran(name)
+                self._journal.cancel(name)
                 memory.writer.put(Kind.COMMAND, name, None)
                 raise Refused("Not carried out: it could not be noted, the disk fails or is slow.") from None
         try:
@@ -235,7 +241,7 @@
             answer = answer if isinstance(answer, str) else await answer
         except Refused as refused:
             answer = f"{refused}\n"
-        self._journal.answered(name, answer)
+        self._journal.record_answer(name, answer)
         if memory is not None:
             self._manager.remember_changes()
             try:
@@ -249,7 +255,7 @@
         assert memory is not None
         memory.noted(name)
         clock: Any = self._manager.clock
-        await memory.sure().addTimeout(SURE_MOST, clock)
+        await memory.sure().addTimeout(DURABLE_TIMEOUT, clock)
 
 
 class Api:
@@ -527,10 +533,10 @@
             [
                 name,
                 f"{one.reading.value():.3f}",
-                f"{(now - one.reading.heard) / TENTHS:.1f}",
-                f"{one.reading.say(now):.2f}",
+                f"{(now - one.reading.last_heard) / TENTHS:.1f}",
+                f"{one.reading.freshness(now):.2f}",
                 f"{desk.hints.worth(name):.2f}",
-                f"{desk.given.get(name, 1.0):.3f}",
+                f"{desk.current_hints.get(name, 1.0):.3f}",
                 one.reading.boot,
                 one.reading.newest,
                 one.agent.why if one.agent else "",
@@ -542,7 +548,7 @@
 
     def intake(self, words: tuple[str, ...]) -> str:
         desk, now = self._manager.desk, tenths(self._manager.clock)
-        loads, ages = desk.spread(now)
+        loads, ages = desk.distributions(now)
         text = "".join(f"{fate.name}: {many}\n" for fate, many in desk.counts.items())
         text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
         for what, sketch in (("load", loads), ("age_s", ages)):
@@ -567,15 +573,15 @@
             "Refused": writer.refused,
             "Snapshots": memory.log.snapshots,
             "Segment": memory.log.segment,
-            "Failing": int(writer.behind),
+            "Failing": int(writer.failing),
             "Snapshot_read": opened.snapshot or "none",
             "Records_read": opened.records,
             "Skipped": opened.skipped,
             "Gaps": opened.gaps,
             "Servers_recalled": memory.recalled,
             "Commands": len(memory.journal),
-            "Commands_from_record": memory.journal.from_record,
-            "Commands_unknown": memory.journal.unknown,
+            "Commands_from_record": memory.journal.answered_from_journal,
+            "Commands_unknown": memory.journal.unknown_outcomes,
         }
         text = "".join(f"{key}: {value}\n" for key, value in facts.items())
         text += "".join(f"server memories, {sign.value}: {many}\n" for sign, many in memory.signs.items())
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -21,7 +21,7 @@
 from rushladder.gateways.driver import GatewayDriver, Log, Times
 from rushladder.gateways.holding import Holding, Stand, spans
 from rushladder.guard.waves import Effect
-from rushladder.intake.desk import Desk
+from rushladder.intake.processor import ReportProcessor
 from rushladder.interface import Event, Listing, PeerWord, Probed, ProbeResult
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient
@@ -118,7 +118,7 @@
                 listed.limit, listed.connections = site.limit, site.connections
         self.saved = self.roster.version
         self.reports, self.words = Reports(), deque[Words](maxlen=1)
-        self.desk, self.lanes = Desk(now, blind=plan.blind), list[Reading]()
+        self.desk, self.lanes = ReportProcessor(now, blind=plan.blind), list[Reading]()
         self._reporters()
         self.core = Core(
             plan.identity.seed * 1000 + plan.identity.number,
@@ -307,7 +307,7 @@
         settled, time = (sum(sums[k] for sums in seen.values()) for k in (2, 3))
         mean = time / settled if settled else 0.0
         latency = {name: sums[3] / sums[2] / mean for name, sums in seen.items() if sums[2] >= 5 and mean}
-        return self.desk.period(latency, now)
+        return self.desk.update_hints(latency, now)
 
     def _reporters(self) -> None:
         """Who may report, as the list and the configuration say."""
@@ -316,7 +316,7 @@
             self.desk.forget(name)
         for name, site in sites.items():
             if name in self.roster.listed:
-                self.desk.listed(name, site.reports_from or f"agent of {name}", site.token)
+                self.desk.register(name, site.reports_from or f"agent of {name}", site.token)
         for lane in self.lanes:
             lane.listed()
 
--- a/rushladder/service/remembering.py
+++ b/rushladder/service/remembering.py
@@ -13,21 +13,21 @@
 from rushladder.core.roster import Roster
 from rushladder.guard.history import Refused, Version
 from rushladder.guard.warden import Warden
-from rushladder.intake.desk import Desk
+from rushladder.intake.processor import ReportProcessor
 from rushladder.interface import Learned, Product, Remembered
 from rushladder.store.commands import Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
-    LEAP,
+    EPOCH_MARGIN,
     SECOND,
     Kind,
-    Known,
-    Notebook,
-    Sign,
-    Standing,
-    read,
-    recalled_demand,
-    recalled_trust,
+    ServerKnowledge,
+    ServerRecords,
+    Validity,
+    ListedServer,
+    parse_record,
+    recall_demand,
+    recall_trust,
 )
 from rushladder.store.store_pb2 import (
     CommandMemory,
@@ -53,7 +53,7 @@
         self.log, self.writer, self._clock, self._wall = log, writer, clock, wall
         self.opened = log.opened
         self._kept = dict(log.state)
-        self.notebook = Notebook(self._kept)
+        self.notebook = ServerRecords(self._kept)
         now = self.now()
         commands = [(name, memory) for name, memory in self._all(Kind.COMMAND, CommandMemory)]
         self.journal = Journal(commands, now)
@@ -61,14 +61,16 @@
         self._epochs, self._trusts = dict[str, int](), dict[str, tuple[float, ...]]()
         self._listed, self._periods = -1, 0
         self._starts = dict[str, int]()
-        self.recalled, self.signs = 0, dict.fromkeys(Sign, 0)
+        self.recalled, self.signs = 0, dict.fromkeys(Validity, 0)
 
     def now(self) -> int:
         """Milliseconds of the wall clock."""
         return int(SECOND * self._wall())
 
     def _all(self, kind: Kind, message: Any) -> list[tuple[str, Any]]:
-        found = [(key, read(message, payload)) for (k, key), payload in self._kept.items() if k == kind]
+        found = [
+            (key, parse_record(message, payload)) for (k, key), payload in self._kept.items() if k == kind
+        ]
         return [(key, memory) for key, memory in found if memory is not None]
 
     # Back from the store.
@@ -84,14 +86,14 @@
     def epoch(self, gateway: str) -> int:
         """The least that the gateway's epochs were, and a leap for those that were lost with a tail."""
         payload = self._kept.get((Kind.GATEWAY, gateway))
-        memory = read(GatewayMemory, payload) if payload is not None else None
-        return memory.epoch + LEAP if memory is not None else 0
+        memory = parse_record(GatewayMemory, payload) if payload is not None else None
+        return memory.epoch + EPOCH_MARGIN if memory is not None else 0
 
     def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
         """For the module. now: the manager's clock in tenths of a millisecond."""
         wall = self.now()
         standings = self._standings(roster, now)
-        self.signs = self.notebook.signs(standings, wall)
+        self.signs = self.notebook.count_by_validity(standings, wall)
         workers = list[Learned[Any]]()
         for known in self.notebook.recall(standings, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
@@ -108,7 +110,7 @@
         self.recalled = len(workers)
         demand = None
         for _, memory in self._all(Kind.DEMAND, DemandMemory):
-            demand = recalled_demand(memory, products, wall)
+            demand = recall_demand(memory, products, wall)
         if demand is None:
             return Remembered(workers, 0.0)
         mix = {products[name]: part for name, part in demand.mix.items()}
@@ -132,10 +134,10 @@
         warden.history.restore(versions, stands, refused)
         self._refused = warden.history.refusals
 
-    def restore_trust(self, desk: Desk) -> None:
+    def restore_trust(self, desk: ReportProcessor) -> None:
         wall = self.now()
         for name, memory in self._all(Kind.TRUST, TrustMemory):
-            found = recalled_trust(memory, desk.hints.doubt, wall)
+            found = recall_trust(memory, desk.hints.prior, wall)
             if found is not None and name in desk.senders:
                 desk.hints.restore(name, *found)
 
@@ -152,7 +154,9 @@
             for name, one in roster.listed.items():
                 before = self._starts.get(name, one.started_at)
                 self._starts[name] = one.started_at
-                if one.started_at != before and (payload := self.notebook.started(name, self.now())):
+                if one.started_at != before and (
+                    payload := self.notebook.record_cold_start(name, self.now())
+                ):
                     self.writer.put(Kind.SERVER, name, payload)
             for name in self._starts.keys() - roster.listed.keys():
                 del self._starts[name]
@@ -177,11 +181,13 @@
             memory = RefusedMemory(at=self.now(), who=refused.who, what=refused.what)
             self._put(Kind.REFUSED, str(self._refused % 200), memory)
 
-    def period(self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int) -> None:
+    def period(
+        self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: ReportProcessor, now: int
+    ) -> None:
         """Once a period: what has moved enough to be worth a record."""
         wall = self.now()
         servers = [
-            Known(
+            ServerKnowledge(
                 one.worker.name,
                 one.worker.zone,
                 one.worker.model,
@@ -193,9 +199,9 @@
             )
             for one in learned.workers
         ]
-        for name, payload in self.notebook.learned(servers, wall):
+        for name, payload in self.notebook.update(servers, wall):
             self.writer.put(Kind.SERVER, name, payload)
-        for name in self.notebook.forget(set(self.notebook.known()) - roster.listed.keys()):
+        for name in self.notebook.forget(set(self.notebook.names()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
         self._periods += 1
         if self._periods % DEMAND_EVERY == 0 and learned.quiet:
@@ -204,11 +210,11 @@
             self._trust(desk, wall)
         self.guard(warden)
         self.listing(roster, now)
-        for name in self.journal.fade(wall):
+        for name in self.journal.expire(wall):
             self.writer.put(Kind.COMMAND, name, None)
 
-    def _trust(self, desk: Desk, wall: int) -> None:
-        found = desk.hints.trusts()
+    def _trust(self, desk: ReportProcessor, wall: int) -> None:
+        found = desk.hints.trust_sums()
         for name, figures in found.items():
             before = self._trusts.get(name)
             if before is None or max(abs(a - b) for a, b in zip(before, figures, strict=True)) > 0.02:
@@ -224,15 +230,15 @@
         self.writer.put(Kind.COMMAND, name, self.journal[name].payload())
 
     def sure(self) -> Deferred[None]:
-        return self.writer.sure()
+        return self.writer.flush()
 
     def _put(self, kind: Kind, key: str, message: Any) -> None:
         self.writer.put(kind, key, message.SerializeToString())
 
-    def _standings(self, roster: Roster, now: int) -> dict[str, Standing]:
+    def _standings(self, roster: Roster, now: int) -> dict[str, ListedServer]:
         wall = self.now()
         return {
-            name: Standing(
+            name: ListedServer(
                 one.server.zone,
                 one.server.model,
                 wall - (now - one.started_at) // PER_MS if one.started_at else 0,
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -15,9 +15,9 @@
 from rushladder.conf.objects import GatewaySite, Plan
 from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
 from rushladder.dnsfront.ports import Streams as DnsStreams
-from rushladder.intake.agent import Agent
-from rushladder.intake.lane import Keeper, open_door
-from rushladder.intake.ports import AgentCheck, Streams
+from rushladder.intake.agent import AgentStatus
+from rushladder.intake.receiver import ReceiverSupervisor, bind_report_socket
+from rushladder.intake.ports import AgentCheck, ReportStreams
 from rushladder.interface import Availability
 from rushladder.peers.link import PeerLink
 from rushladder.runtime.endpoint import RuntimeClient, RuntimeFactory
@@ -26,9 +26,9 @@
 from rushladder.service.logs import make_log
 from rushladder.service.manager import Manager
 from rushladder.service.remembering import Remembering
-from rushladder.store.files import Disk, Locked
-from rushladder.store.log import Log, Refused
-from rushladder.store.memory import MINORS, fleet_of
+from rushladder.store.files import Disk, FolderLocked
+from rushladder.store.log import Log, IncompatibleStore
+from rushladder.store.memory import MINORS, fleet_id
 from rushladder.store.writer import Writer
 from rushladder.timing import tenths
 
@@ -96,10 +96,10 @@
         return None, ""
     try:
         disk = Disk(plan.memory)
-        fleet = fleet_of(plan.regions, [product.name for product in plan.products])
+        fleet = fleet_id(plan.regions, [product.name for product in plan.products])
         log = Log(disk, fleet, plan.identity.name, MINORS, wall=lambda: int(1000 * time.time()))
         log.open()
-    except (OSError, Locked, Refused) as trouble:
+    except (OSError, FolderLocked, IncompatibleStore) as trouble:
         return None, str(trouble)
     writer = Writer(log, reactor, threads.deferToThread, lambda why: None)
     return Remembering(log, writer, reactor, time.time), ""
@@ -124,7 +124,7 @@
             memory=memory,
         )
         if memory is not None:
-            memory.writer.on_fault = self.manager.fault
+            memory.writer.on_error = self.manager.fault
             for damage in memory.opened.damage:
                 self.manager.fault(f"set aside in {plan.memory}: {damage}")
         elif why:
@@ -159,11 +159,11 @@
             await server_endpoint(where).listen(DnsStreams(front, reactor))
         for kind, where in self._plan.report_listeners:
             if kind == "udp":
-                keeper = Keeper(self.manager.desk, open_door(where), self.manager.fault)
+                keeper = ReceiverSupervisor(self.manager.desk, bind_report_socket(where), self.manager.fault)
                 keeper.start()
                 self.manager.lanes.append(keeper)
             else:
-                await server_endpoint(where).listen(Streams(self.manager.desk, reactor))
+                await server_endpoint(where).listen(ReportStreams(self.manager.desk, reactor))
         for site in self._plan.collectors:
             if site.agent is not None:
                 self._ask(site.name, site.agent)
@@ -186,8 +186,8 @@
             return
         check = AgentCheck()
 
-        def said(answer: Agent) -> None:
-            self.manager.desk.asked(name, answer, tenths(reactor))
+        def said(answer: AgentStatus) -> None:
+            self.manager.desk.record_agent_check(name, answer, tenths(reactor))
             state = AGENT_STATES.get(answer.admin or "")
             if state is not None and name in self.manager.roster.listed:
                 self.manager.listing(self.manager.roster.change(name, tenths(reactor), availability=state))
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -26,7 +26,7 @@
 from rushladder.dnsfront.limits import Kind, Limiter, Verdict, prefix
 from rushladder.dnsfront.records import Answer, Rcode, Record, Type
 from rushladder.dnsfront.split import TWICE, Share, Split
-from rushladder.structures.choice import Alias, Fenwick, Linear, Stride
+from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 from tests.test_paths import ctl
 from tests.world import Prober, World
 
@@ -40,7 +40,7 @@
     def test_a_tree_draws_what_a_walk_draws(
         self, some: dict[int, float], chance: float, changes: list[tuple[int, float]]
     ) -> None:
-        tree, plain = Fenwick(some), Linear(some)
+        tree, plain = FenwickTree(some), LinearChoice(some)
         for key, weight in changes:
             if key in some:
                 tree.set(key, weight)
@@ -51,7 +51,7 @@
 
     def test_an_alias_table_follows_its_weights(self) -> None:
         some, draw = {"a": 1.0, "b": 2.0, "c": 7.0}, Random(1).random
-        table, found = Alias(some), Counter[str]()
+        table, found = AliasTable(some), Counter[str]()
         for _ in range(20_000):
             found[table.draw(draw())] += 1
         for key, weight in some.items():
@@ -62,12 +62,12 @@
     def test_in_turn_each_gets_its_part_of_any_costs(
         self, some: dict[int, float], costs: list[float]
     ) -> None:
-        turns, got = Stride[int](), Counter[int]()
+        turns, got = StrideScheduler[int](), Counter[int]()
         for key, weight in some.items():
             turns.set(key, weight)
         for cost in costs:
-            key = turns.least(1, lambda _: True, 0)[0]
-            turns.take(key, cost)
+            key = turns.next_fitting(1, lambda _: True, 0)[0]
+            turns.charge(key, cost)
             got[key] += cost  # type: ignore[assignment]
         whole = sum(some.values())
         for key, weight in some.items():
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -21,30 +21,30 @@
 from rushladder.store.log import Log
 from rushladder.store.memory import (
     DAY,
-    FADES,
+    DECAYS,
     HOUR,
-    LEAP,
+    EPOCH_MARGIN,
     MINORS,
     MINUTE,
-    REPORTS,
+    FRESH_REPORTS,
     SECOND,
-    SLACK,
+    CLOCK_SLACK,
     Aspect,
     Kind,
-    Known,
-    Notebook,
-    Standing,
-    proven,
-    recalled,
-    recalled_demand,
-    weight,
+    ServerKnowledge,
+    ServerRecords,
+    ListedServer,
+    reliability,
+    recall_server,
+    recall_demand,
+    decay_weight,
 )
 from rushladder.store.store_pb2 import CommandMemory, DemandMemory, ServerMemory
 from rushladder.store.writer import Writer
 from tests.world import Log as WorldLog, World
 
 NOW = 1_700_000_000_000
-HERE = Standing("a", "m", 0)
+HERE = ListedServer("a", "m", 0)
 
 
 def memory(age: int, **more: Any) -> ServerMemory:
@@ -57,14 +57,14 @@
     @given(st.sampled_from(Aspect), st.integers(0, 8 * DAY), st.integers(0, 8 * DAY))
     def test_what_is_older_never_counts_for_more(self, aspect: Aspect, one: int, other: int) -> None:
         older, newer = max(one, other), min(one, other)
-        self.assertLessEqual(weight(aspect, older), weight(aspect, newer))
-        self.assertEqual(weight(aspect, FADES[aspect].end), 0.0)
-        self.assertEqual(weight(aspect, -SLACK - 1), 0.0)
+        self.assertLessEqual(decay_weight(aspect, older), decay_weight(aspect, newer))
+        self.assertEqual(decay_weight(aspect, DECAYS[aspect].end), 0.0)
+        self.assertEqual(decay_weight(aspect, -CLOCK_SLACK - 1), 0.0)
 
     def test_a_fresh_memory_counts_as_reports_and_one_a_day_old_for_little(self) -> None:
-        fresh, old = recalled("s", memory(0), HERE, NOW), recalled("s", memory(DAY), HERE, NOW)
+        fresh, old = recall_server("s", memory(0), HERE, NOW), recall_server("s", memory(DAY), HERE, NOW)
         assert fresh is not None and old is not None
-        self.assertEqual((fresh.pace, fresh.factor, fresh.heard), (0.5, 0.4, REPORTS))
+        self.assertEqual((fresh.pace, fresh.factor, fresh.heard), (0.5, 0.4, FRESH_REPORTS))
         self.assertLess(old.heard, 1)
         self.assertGreater(old.pace, 0.9)
 
@@ -73,40 +73,42 @@
             (memory(0, region="b"), HERE),
             (memory(0, model="n"), HERE),
             (memory(0), None),
-            (memory(MINUTE), Standing("a", "m", NOW - SECOND)),
+            (memory(MINUTE), ListedServer("a", "m", NOW - SECOND)),
             (memory(-MINUTE), HERE),
             (memory(8 * DAY), HERE),
             (memory(0, pace=math.nan), HERE),
             (memory(0, pace=0.0), HERE),
             (memory(0, factor=-1.0), HERE),
         ):
-            self.assertIsNone(recalled("s", kept, standing, NOW))
+            self.assertIsNone(recall_server("s", kept, standing, NOW))
 
     def test_one_that_was_out_when_the_manager_died_is_tried_out_again(self) -> None:
         kept = memory(2 * SECOND, out_for=8000, out_until=NOW + 3000, pace=1.0, factor=1.0)
-        known = recalled("s", kept, HERE, NOW)
+        known = recall_server("s", kept, HERE, NOW)
         assert known is not None
         self.assertAlmostEqual(known.factor, 0.2)
         self.assertGreater(known.out_for, 7000)
-        later = recalled("s", memory(10 * MINUTE, out_for=8000, out_until=NOW, factor=1.0), HERE, NOW)
+        later = recall_server("s", memory(10 * MINUTE, out_for=8000, out_until=NOW, factor=1.0), HERE, NOW)
         assert later is not None
         self.assertEqual((later.factor, later.out_for), (1.0, 0))
 
     def test_a_server_whose_memories_do_not_come_true_is_remembered_less(self) -> None:
-        self.assertEqual((proven(0, 0), proven(5, 1)), (1.0, 1.0))
-        self.assertLess(proven(0, 3), 0.3)
-        book = Notebook({(Kind.SERVER, "s"): memory(0).SerializeToString()})
+        self.assertEqual((reliability(0, 0), reliability(5, 1)), (1.0, 1.0))
+        self.assertLess(reliability(0, 3), 0.3)
+        book = ServerRecords({(Kind.SERVER, "s"): memory(0).SerializeToString()})
         book.recall({"s": HERE}, NOW)
-        [(_, payload)] = book.learned([Known("s", "a", "m", 1.2, 1.0, 2 * REPORTS)], NOW + MINUTE)
+        [(_, payload)] = book.update(
+            [ServerKnowledge("s", "a", "m", 1.2, 1.0, 2 * FRESH_REPORTS)], NOW + MINUTE
+        )
         self.assertEqual(ServerMemory.FromString(payload).wrong, 1.0)
-        self.assertEqual(book.learned([Known("s", "a", "m", 1.21, 1.0, 30)], NOW + MINUTE), [])
+        self.assertEqual(book.update([ServerKnowledge("s", "a", "m", 1.21, 1.0, 30)], NOW + MINUTE), [])
 
     def test_demand_of_an_hour_ago_counts_for_nothing_and_of_now_for_all(self) -> None:
         for age, busy in ((0, 0.8), (10 * MINUTE, 0.65), (HOUR, None)):
             kept = DemandMemory(at=NOW - age, quiet=150, mix={"x": 0.8, "y": 0.2})
-            found = recalled_demand(kept, ["x", "y"], NOW)
+            found = recall_demand(kept, ["x", "y"], NOW)
             self.assertAlmostEqual(found.mix["x"], busy) if found and busy else self.assertIsNone(found)
-        self.assertIsNone(recalled_demand(DemandMemory(at=NOW, mix={"x": 1.0}), ["x", "y"], NOW))
+        self.assertIsNone(recall_demand(DemandMemory(at=NOW, mix={"x": 1.0}), ["x", "y"], NOW))
 
     @settings(derandomize=True, deadline=None)
     @given(st.floats(), st.floats(), st.floats(), st.integers(0, 2**40), st.integers(-DAY, 9 * DAY))
@@ -114,9 +116,11 @@
         self, pace: float, factor: float, right: float, out: int, age: int
     ) -> None:
         kept = memory(age, pace=pace, factor=factor, right=right, wrong=1, out_for=out, out_until=out)
-        known = recalled("s", kept, HERE, NOW)
+        known = recall_server("s", kept, HERE, NOW)
         if known is not None:
-            self.assertTrue(0 < known.pace <= 100 and 0 < known.factor <= 100 and 0 <= known.heard <= REPORTS)
+            self.assertTrue(
+                0 < known.pace <= 100 and 0 < known.factor <= 100 and 0 <= known.heard <= FRESH_REPORTS
+            )
 
 
 class JournalStories(unittest.TestCase):
@@ -124,7 +128,7 @@
         journal = Journal()
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.RUN)
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.WAIT)
-        journal.answered("a", "done\n")
+        journal.record_answer("a", "done\n")
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.ANSWER)
         self.assertIs(journal.begin("a", "set server x", True, NOW), Effect.REFUSE)
 
@@ -139,10 +143,10 @@
         for k in range(1500):
             journal.begin(f"c{k}", "show info", True, NOW + k)
             if k:
-                journal.answered(f"c{k}", "")
-            journal.fade(NOW + k)
+                journal.record_answer(f"c{k}", "")
+            journal.expire(NOW + k)
         self.assertEqual(len(journal), 1000)
-        journal.fade(NOW + 2 * DAY)
+        journal.expire(NOW + 2 * DAY)
         self.assertEqual(len(journal), 1)  # the one that is still running
 
 
@@ -171,7 +175,7 @@
             self.logs[name],
             memory=remembering,
         )
-        writer.on_fault = manager.fault
+        writer.on_error = manager.fault
         self.managers[name] = manager
         manager.start()
         return manager
@@ -283,7 +287,7 @@
         world.start_gateway("g0", pid=2)
         world.start_manager("m0")
         world.run(8, 5)
-        self.assertGreater(world.managers["m0"].drivers[0].holding.epoch, before + LEAP - 1)
+        self.assertGreater(world.managers["m0"].drivers[0].holding.epoch, before + EPOCH_MARGIN - 1)
 
     def test_a_process_that_was_replaced_gives_way_and_sends_nothing_more(self) -> None:
         world = World()
