--- a/rushladder/intake/__init__.py
+++ b/rushladder/intake/__init__.py
@@ -1,2 +1,2 @@
-"""Load reports of servers: taken in within bounds, aged, and never trusted further than they have
-predicted."""
+"""Receives load reports of servers: limits their rate, ages them, and trusts them only as far as they have
+predicted measured latencies."""
--- a/rushladder/intake/datagram_buffer.py
+++ b/rushladder/intake/datagram_buffer.py
@@ -1,7 +1,7 @@
-"""What is kept of the datagrams of a moment: the newest few of each listed sender. Free of I/O.
+"""Buffers datagrams for a short time and keeps only the newest few of each known sender. Performs no I/O.
 
-A manager that stood still would else spend each sender's budget on what it missed, and a flooder would
-cost the decoding of all that it sends.
+Without it, a manager that was stalled would spend each sender's budget on the reports that it missed, and a
+flooding sender would cost the decoding of everything that it sends.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Collection, Iterator
 from typing import NamedTuple
 
-MAX_PER_SENDER = 5  # newest datagrams of a sender in a gathering: a sender's whole burst
+MAX_PER_SENDER = 5  # newest datagrams kept of a sender, equal to the burst that a sender is allowed
 
 
-class Gathered(NamedTuple):
-    """One sender's part: how many older ones its newest pushed out, and those, the newest first."""
+class SenderDatagrams(NamedTuple):
+    """The datagrams kept of one sender, newest first, and the number of older ones that they displaced."""
 
     address: str
     passed_over: int
@@ -22,33 +22,35 @@
 
 
 class DatagramBuffer:
-    """Bounded by KEPT datagrams for each address in `knows`, whatever arrives."""
+    """Holds at most MAX_PER_SENDER datagrams for each known address, whatever arrives."""
 
-    def __init__(self, knows: Collection[str]) -> None:
-        self.knows, self.strangers = knows, 0
-        self._waiting, self._came = dict[str, deque[bytes]](), Counter[str]()
+    def __init__(self, known_addresses: Collection[str]) -> None:
+        self.known_addresses, self.strangers = known_addresses, 0
+        self._kept, self._received = dict[str, deque[bytes]](), Counter[str]()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._kept)
 
     def add(self, address: str, datagram: bytes) -> None:
-        waiting = self._waiting.get(address)
-        if waiting is None:
-            if address not in self.knows:
+        """Keeps a datagram, or counts it in `strangers` if its address is unknown."""
+        kept = self._kept.get(address)
+        if kept is None:
+            if address not in self.known_addresses:
                 self.strangers += 1
                 return
-            waiting = self._waiting[address] = deque(maxlen=MAX_PER_SENDER)
-        self._came[address] += 1
-        waiting.append(datagram)
-
-    def take(self) -> Iterator[Gathered]:
-        """All that was gathered since the last take; senders that are no longer known are left out."""
-        taken, self._waiting = self._waiting, {}
-        came, self._came = self._came, Counter()
-        for address, waiting in taken.items():
-            if address in self.knows:
-                yield Gathered(address, came[address] - len(waiting), list(reversed(waiting)))
+            kept = self._kept[address] = deque(maxlen=MAX_PER_SENDER)
+        self._received[address] += 1
+        kept.append(datagram)
+
+    def take(self) -> Iterator[SenderDatagrams]:
+        """Empties the buffer and yields its contents, without senders that are no longer known."""
+        taken, self._kept = self._kept, {}
+        received, self._received = self._received, Counter()
+        for address, kept in taken.items():
+            if address in self.known_addresses:
+                yield SenderDatagrams(address, received[address] - len(kept), list(reversed(kept)))
 
     def take_strangers(self) -> int:
-        many, self.strangers = self.strangers, 0
-        return many
+        """Returns and resets the number of datagrams from unknown addresses."""
+        count, self.strangers = self.strangers, 0
+        return count
--- a/rushladder/intake/hints.py
+++ b/rushladder/intake/hints.py
@@ -1,13 +1,14 @@
-"""How far a server's report may move its weight: bounded, slow, and by how it has predicted so far. Free of
-I/O.
+"""Turns the reported loads into hints: factors by which servers' weights are adjusted. Performs no I/O.
 
-A report that a server is fuller than the others predicts that its txns take longer than theirs. Each period
-of some periods ago is held against the latency measured since: what a queue holds now shows in settled txns
-only later. How well the two go together is what a report is worth. A liar, a stuck reading and one that
-tells of something else are worth nothing within some periods.
+Hints are bounded, change slowly, and are scaled by how well a server's reports have predicted its latency.
 
-To say that one is fuller than the others costs nobody else: that is believed at first, and less each time
-that no slower txns followed.
+A report that a server is more loaded than the others predicts that its txns take longer than theirs. The
+reported loads of each period are compared with the latency measured LAG periods later, because a queue shows
+in settled txns only after a delay. The correlation of the two is the worth of a server's reports. Within a
+few periods it falls to zero for a server that lies, whose reading is stuck, or that reports something else.
+
+A claim to be more loaded than the others only costs the server itself. It is believed at first, and less each
+time that its txns turn out not to be slower.
 """
 
 from __future__ import annotations
@@ -18,104 +19,131 @@
 
 import attrs
 
-FAR = 0.4  # of a weight, upwards at the most: more is what a liar wants
-LESS = 0.8  # downwards: it costs the one who says so; the module goes no further than three tenths of a pace
-STEP = 0.2  # a period: three periods to the bound; the module itself moves a weight by a tenth at the most
-LEARNS = 0.2  # a period, of the memory of errors: five periods
-WARY = 0.35  # a period, of the memory of claims to be fuller that nothing followed: three periods
-DOUBT = 0.02  # squared, of a logarithm: differences of a seventh are noise, and prove nothing
-LAG = (
-    3  # periods from a load to the latency it leads to: half of the window that is measured over, and the way
+MAX_INCREASE = 0.4  # of a weight; a greater increase would reward lying
+# Maximum decrease of a weight. It costs only the server that claims the load, and the module itself does not
+# lower a server's factor below 0.3.
+MAX_DECREASE = 0.8
+# Maximum change per period: the bounds are reached in about three periods. The module itself changes a weight
+# by at most a tenth.
+MAX_STEP = 0.2
+LEARNING_RATE = 0.2  # per period, of the sums behind the worth: about five periods count
+CLAIM_LEARNING_RATE = 0.35  # per period, of the share of false claims: about three periods count
+# Initial value of the sums of squares (of logarithms). Differences of a seventh are noise and prove nothing.
+PRIOR = 0.02
+# Periods between a load and the latency that it causes: half of the window of the latency measurement, plus
+# the delay of the reports.
+LAG = 3
+CLAIM_THRESHOLD = (
+    0.3  # logarithm of the ratio to the median load; a third more counts as a claim to be loaded
 )
-FULLER = 0.3  # of a logarithm: a third more than the middle is a claim that can be held against it
-GRANTED = 1.0  # of a claim to be fuller, before anything is known of the one who makes it
-FEW = 3  # servers whose reports are fresh, below which there is nothing to compare with
-FLOOR = 0.05  # of load, so that all but idle servers do not differ tenfold
+UNKNOWN_CLAIM_TRUST = 1.0  # how far such a claim is believed while nothing is known about the server
+MIN_SERVERS = 3  # with fewer fresh readings there is nothing to compare a load with
+MIN_LOAD = 0.05  # lower loads are raised to it, so that almost idle servers don't differ tenfold
 
 
 @attrs.define
 class Trust:
-    """How a server's reports went with its measured latency: faded sums of squares and of products, of
-    logarithms."""
+    """How well a server's reports match its measured latency.
+
+    Exponentially decaying sums of squares and products of logarithms, relative to the fleet. They are stored
+    as `both`, `told`, `met` and `cried`, in this order.
+    """
 
-    both: float = 0.0
-    told: float = DOUBT
-    met: float = DOUBT
-    cried: float = 0.0  # part of its claims to be fuller that nothing followed
+    products: float = 0.0
+    reported_squares: float = PRIOR
+    measured_squares: float = PRIOR
+    false_claims: float = 0.0  # share of the claims to be more loaded after which txns weren't slower
     hint: float = 1.0
-    said: deque[float] = attrs.field(factory=lambda: deque(maxlen=LAG + 1))
+    reported: deque[float] = attrs.field(factory=lambda: deque(maxlen=LAG + 1))
 
     def worth(self) -> float:
-        """From 0 to 1: the correlation about the fleet's middle. One that tells too much of the right thing
-        is as good as one that tells it in our scale; one that never moves, or moves the other way, is worth
-        nothing."""
-        return min(1.0, max(0.0, self.both / math.sqrt(self.told * self.met)))
+        """The correlation of reports and latencies about the fleet's median, from 0 to 1. Reports that
+        exaggerate the right tendency are worth as much as exact ones. Constant reports, or ones of the
+        opposite tendency, are worth nothing."""
+        return min(1.0, max(0.0, self.products / math.sqrt(self.reported_squares * self.measured_squares)))
 
-    def worth_less(self) -> float:
-        """The same of a claim that would cost it weight."""
-        return max(self.worth(), GRANTED * (1.0 - self.cried))
+    def claim_worth(self) -> float:
+        """The worth of a claim that lowers the server's own weight."""
+        return max(self.worth(), UNKNOWN_CLAIM_TRUST * (1.0 - self.false_claims))
 
 
 class Hints:
-    """One trust a server; bounded by the servers that report."""
+    """One Trust for each server that reports."""
 
     def __init__(self, blind: bool = False) -> None:
         self._trust = dict[str, Trust]()
-        self._blind = blind  # takes every report at its word: for measuring what doubt is worth
+        # Believes every report, for measuring what the trust is worth.
+        self._blind = blind
 
     def period(
         self, loads: Mapping[str, tuple[float, float]], latency: Mapping[str, float]
     ) -> dict[str, float]:
-        """The hints of this period: 1 is neutral, above it more. Servers not named are neutral.
+        """Computes the hints of this period: 1 is neutral, more raises a weight. Servers not in the result
+        are neutral.
 
-        loads: server -> load, and its say (0 to 1, by age); latency: server -> measured mean over the
-        fleet's, where known.
+        loads: server -> load and freshness (0 to 1); latency: server -> measured mean latency relative to
+        the fleet's, where known.
         """
-        fresh = sorted(load for load, say in loads.values() if say >= 1.0)
-        middle = fresh[len(fresh) // 2] if len(fresh) >= FEW else None
+        fresh = sorted(load for load, freshness in loads.values() if freshness >= 1.0)
+        median = fresh[len(fresh) // 2] if len(fresh) >= MIN_SERVERS else None
         for name in {*loads, *self._trust}:
             trust = self._trust.setdefault(name, Trust())
-            load, say = loads.get(name, (0.0, 0.0))
-            wanted = 1.0
-            if middle is not None and say > 0:
-                fuller = (max(load, FLOOR)) / max(middle, FLOOR)
-                self._learn(trust, fuller, latency.get(name), say)
-                far, less = (0.9, 0.9) if self._blind else (FAR * trust.worth(), LESS * trust.worth_less())
-                wanted = 1.0 + say * (
-                    far * min(1.0, max(0.0, 1.0 / fuller - 1.0))
-                    - less * min(1.0, max(0.0, 1.0 - 1.0 / fuller))
+            load, freshness = loads.get(name, (0.0, 0.0))
+            target = 1.0
+            if median is not None and freshness > 0:
+                ratio = (max(load, MIN_LOAD)) / max(median, MIN_LOAD)
+                self._learn(trust, ratio, latency.get(name), freshness)
+                increase, decrease = (
+                    (0.9, 0.9)
+                    if self._blind
+                    else (MAX_INCREASE * trust.worth(), MAX_DECREASE * trust.claim_worth())
                 )
-            step = 1.0 if self._blind else STEP
-            trust.hint += min(step, max(-step, wanted - trust.hint))
+                target = 1.0 + freshness * (
+                    increase * min(1.0, max(0.0, 1.0 / ratio - 1.0))
+                    - decrease * min(1.0, max(0.0, 1.0 - 1.0 / ratio))
+                )
+            step = 1.0 if self._blind else MAX_STEP
+            trust.hint += min(step, max(-step, target - trust.hint))
         for name in [name for name, trust in self._trust.items() if name not in loads and trust.hint == 1.0]:
             del self._trust[name]
         return {name: trust.hint for name, trust in self._trust.items()}
 
     @property
     def prior(self) -> float:
-        """What a stranger's sums of squares begin with."""
-        return DOUBT
+        """The initial value of the sums of squares of an unknown server."""
+        return PRIOR
 
     def trust_sums(self) -> dict[str, tuple[float, float, float, float]]:
-        """What is worth keeping of each: both, told, met and cried."""
-        return {name: (one.both, one.told, one.met, one.cried) for name, one in self._trust.items()}
-
-    def restore(self, server: str, both: float, told: float, met: float, cried: float) -> None:
-        self._trust[server] = Trust(both, told, met, cried)
+        """The sums to store for each server, as `restore` takes them."""
+        return {
+            name: (trust.products, trust.reported_squares, trust.measured_squares, trust.false_claims)
+            for name, trust in self._trust.items()
+        }
+
+    def restore(
+        self,
+        server: str,
+        products: float,
+        reported_squares: float,
+        measured_squares: float,
+        false_claims: float,
+    ) -> None:
+        self._trust[server] = Trust(products, reported_squares, measured_squares, false_claims)
 
     def worth(self, server: str) -> float:
         return self._trust[server].worth() if server in self._trust else 0.0
 
-    def _learn(self, trust: Trust, fuller: float, measured: float | None, say: float) -> None:
-        if say < 1.0:
-            trust.said.clear()
+    def _learn(self, trust: Trust, ratio: float, measured: float | None, freshness: float) -> None:
+        """Compares the load reported LAG periods ago with the latency measured now."""
+        if freshness < 1.0:
+            trust.reported.clear()
             return
-        trust.said.append(math.log(min(10.0, max(0.1, fuller))))
-        if measured is None or measured <= 0 or len(trust.said) <= LAG:
+        trust.reported.append(math.log(min(10.0, max(0.1, ratio))))
+        if measured is None or measured <= 0 or len(trust.reported) <= LAG:
             return
-        truth, guess = math.log(min(10.0, max(0.1, measured))), trust.said[0]
-        if guess > FULLER:
-            trust.cried += WARY * ((truth <= 0.0) - trust.cried)
-        trust.both += LEARNS * (truth * guess - trust.both)
-        trust.told += LEARNS * (guess**2 + DOUBT - trust.told)
-        trust.met += LEARNS * (truth**2 + DOUBT - trust.met)
+        actual, predicted = math.log(min(10.0, max(0.1, measured))), trust.reported[0]
+        if predicted > CLAIM_THRESHOLD:
+            trust.false_claims += CLAIM_LEARNING_RATE * ((actual <= 0.0) - trust.false_claims)
+        trust.products += LEARNING_RATE * (actual * predicted - trust.products)
+        trust.reported_squares += LEARNING_RATE * (predicted**2 + PRIOR - trust.reported_squares)
+        trust.measured_squares += LEARNING_RATE * (actual**2 + PRIOR - trust.measured_squares)
--- a/rushladder/intake/ports.py
+++ b/rushladder/intake/ports.py
@@ -1,5 +1,5 @@
-"""Where reports arrive: a framed TCP stream that is slowed down when it is too fast, and agent checks.
-Datagrams have a process of their own (`lane`)."""
+"""Network protocols for reports: framed TCP streams, which are throttled when they exceed their budget, and
+agent checks. Datagrams are received by a separate process, see `receiver`."""
 
 from __future__ import annotations
 
@@ -10,66 +10,66 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python.failure import Failure
 
-from rushladder.intake.agent import LONGEST as AGENT_LONGEST
-from rushladder.intake.agent import AgentStatus, InvalidAgentAnswer, read_agent
-from rushladder.intake.processor import MAX_REPORT_BYTES, ReportProcessor, ReportOutcome
+from rushladder.intake.agent import MAX_ANSWER_BYTES, AgentStatus, InvalidAgentAnswer, parse_agent_answer
+from rushladder.intake.processor import MAX_REPORT_BYTES, ReportOutcome, ReportProcessor
 from rushladder.runtime.endpoint import DONE
 from rushladder.timing import Clock, tenths
 
-PAUSE = 0.2  # s that a stream over its budget is not read: TCP then slows its sender down
+PAUSE = 0.2  # seconds for which a stream over its budget is not read, so that TCP slows its sender down
 
 
-class Stream(Int32StringReceiver):
-    """Reports, each behind its length in four bytes."""
+class ReportStream(Int32StringReceiver):
+    """A stream of reports, each with a four-byte length prefix."""
 
     MAX_LENGTH = MAX_REPORT_BYTES
 
-    def __init__(self, desk: ReportProcessor, clock: Clock) -> None:
-        self._desk, self._clock = desk, clock
+    def __init__(self, processor: ReportProcessor, clock: Clock) -> None:
+        self._processor, self._clock = processor, clock
 
     def _transport(self) -> Any:
         return self.transport
 
     def stringReceived(self, string: bytes) -> None:
-        fate = self._desk.report(self._transport().getPeer().host, string, tenths(self._clock))
-        if fate in (ReportOutcome.OVER_OWN, ReportOutcome.OVER_ALL):
+        outcome = self._processor.report(self._transport().getPeer().host, string, tenths(self._clock))
+        if outcome in (ReportOutcome.OVER_OWN, ReportOutcome.OVER_ALL):
             self.pauseProducing()  # type: ignore[no-untyped-call]
-            self._clock.callLater(PAUSE, self._again)
-        elif fate in (ReportOutcome.STRANGER, ReportOutcome.FORGED, ReportOutcome.MALFORMED):
+            self._clock.callLater(PAUSE, self._resume)
+        elif outcome in (ReportOutcome.STRANGER, ReportOutcome.FORGED, ReportOutcome.MALFORMED):
             self._transport().abortConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self._desk.counts[ReportOutcome.OVERSIZED] += 1
+        self._processor.counts[ReportOutcome.OVERSIZED] += 1
         self._transport().abortConnection()
 
-    def _again(self) -> None:
+    def _resume(self) -> None:
         if self.connected:
             self.resumeProducing()  # type: ignore[no-untyped-call]
 
 
 class ReportStreams(protocol.ServerFactory):
-    """Two streams a listed server at the most, for one that restarts before its old stream is noticed."""
+    """Accepts at most two streams per listed server: a restarted server may connect before its old stream is
+    found to be dead."""
 
-    def __init__(self, desk: ReportProcessor, clock: Clock) -> None:
-        self._desk, self._clock, self._open = desk, clock, 0
+    def __init__(self, processor: ReportProcessor, clock: Clock) -> None:
+        self._processor, self._clock, self._open = processor, clock, 0
 
     def buildProtocol(self, addr: Any) -> protocol.Protocol | None:
-        if self._open >= 2 * max(1, len(self._desk.senders)):
+        if self._open >= 2 * max(1, len(self._processor.senders)):
             return None
         self._open += 1
-        stream = Stream(self._desk, self._clock)
-        lost = stream.connectionLost
+        stream = ReportStream(self._processor, self._clock)
+        connection_lost = stream.connectionLost
 
-        def gone(reason: Failure = DONE) -> None:
+        def closed(reason: Failure = DONE) -> None:
             self._open -= 1
-            lost(reason)
+            connection_lost(reason)
 
-        stream.connectionLost = gone  # type: ignore[method-assign]
+        stream.connectionLost = closed  # type: ignore[method-assign]
         return stream
 
 
 class AgentCheck(protocol.Protocol):
-    """One question to a server's agent port: it answers a line and closes."""
+    """One request to a server's agent port. The agent sends a line and closes the connection."""
 
     def __init__(self) -> None:
         self.answer: Deferred[AgentStatus] = Deferred()
@@ -77,18 +77,18 @@
 
     def dataReceived(self, data: bytes) -> None:
         self._data += data
-        if b"\n" in self._data or len(self._data) > AGENT_LONGEST:
-            self._end()
+        if b"\n" in self._data or len(self._data) > MAX_ANSWER_BYTES:
+            self._finish()
             transport: Any = self.transport
             transport.abortConnection()
 
     def connectionLost(self, reason: Failure = DONE) -> None:
-        self._end()
+        self._finish()
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if self.answer.called:
             return
         try:
-            self.answer.callback(read_agent(self._data))
-        except InvalidAgentAnswer as unclear:
-            self.answer.errback(unclear)
+            self.answer.callback(parse_agent_answer(self._data))
+        except InvalidAgentAnswer as error:
+            self.answer.errback(error)
--- a/rushladder/intake/processor.py
+++ b/rushladder/intake/processor.py
@@ -1,9 +1,7 @@
-"""Takes reports in, whatever way they came: who sent it, is there room, does it read, does it count. Free
-of I/O.
+"""Processes load reports from all sources: checks the sender, the rate limit, the format and the reading.
 
-In that order, each dearer than the one before: an address, a budget, a token, then the reading itself. What
-floods is turned away before it is decoded. Memory is bounded by the servers that are listed, never by
-traffic.
+The checks run in this order because each costs more than the one before it, so that a flood is rejected
+before it is decoded. Memory is bounded by the number of listed servers, not by traffic. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,34 +15,34 @@
 
 from rushladder.intake.agent import AgentStatus
 from rushladder.intake.hints import Hints
-from rushladder.intake.limits import TENTHS, ReportLimits, RateVerdict
+from rushladder.intake.limits import TICKS_PER_SECOND, RateVerdict, ReportLimits
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
-from rushladder.intake.readings import GONE, ReadingOutcome, Reading
+from rushladder.intake.readings import GONE_AFTER, Reading, ReadingOutcome
 from rushladder.structures.quantiles import QuantileSketch
 from rushladder.structures.timing_wheel import TimingWheel
 
-MAX_REPORT_BYTES = 2048  # bytes of a report: a hundred named metrics
-FASTEST = 1e6  # txns a second that a server can claim: beyond any real one
-TICK = 1000  # 0.1 s: expiry need not be told any closer
+MAX_REPORT_BYTES = 2048  # enough for a hundred named metrics
+MAX_TXNS_PER_SECOND = 1e6  # that a server can claim; no real one comes close
+EXPIRY_TICK = 1000  # 0.1 s, accurate enough for expiry
 
 
 class ReportOutcome(Enum):
-    """What became of a report; each is counted."""
+    """What became of a report. Reports are counted by outcome and shown to operators by its name."""
 
-    TAKEN = "taken"
-    LATE = "late, still counted"
+    TAKEN = "accepted"
+    LATE = "older than the newest, still counted"
     STRANGER = "from an address that no server reports from"
-    FORGED = "name or token of another"
-    OVER_OWN = "over its sender's budget"
-    OVER_ALL = "over the budget of all"
-    MALFORMED = "not readable"
+    FORGED = "with the name or token of another server"
+    OVER_OWN = "over the sender's own budget"
+    OVER_ALL = "over the total budget"
+    MALFORMED = "malformed"
     OVERSIZED = "too long"
-    REPEATED = "repeated, or too late"
-    OLD_LIFE = "of a life before the last start"
-    UNREAL = "no load, or a clock that ran ahead"
+    REPEATED = "duplicate, or too old"
+    OLD_LIFE = "from an incarnation before the server's last start"
+    UNREAL = "invalid load, or a clock that ran ahead"
 
 
-ORDERS = {
+OUTCOMES = {
     ReadingOutcome.NEW: ReportOutcome.TAKEN,
     ReadingOutcome.LATE: ReportOutcome.LATE,
     ReadingOutcome.REPEATED: ReportOutcome.REPEATED,
@@ -55,19 +53,20 @@
 
 @attrs.define(eq=False)
 class Sender:
-    """A server that may report: the address that it reports from, and its token."""
+    """A server that may report, the address that it reports from, and its token."""
 
     name: str
     address: str
     token: bytes
     reading: Reading = attrs.field(factory=Reading)
     agent: AgentStatus | None = None
-    rate: float = 0.0  # txns a second that it last said it gets
-    numbers: int = 0  # of answers to agent checks, which carry none of their own
+    rate: float = 0.0  # txns per second by its latest report
+    checks: int = 0  # agent checks answered; their sequence number, as answers carry none
 
 
 class ReportProcessor:
-    """own, burst: reports a second of one server, and at once; all_: of all together."""
+    """own: reports per second of one server; burst: how many it may send at once; all_: reports per second of
+    all servers together; blind: hints believe every report."""
 
     def __init__(
         self, now: int, own: float = 5.0, burst: int = 5, all_: float = 2000.0, blind: bool = False
@@ -75,13 +74,13 @@
         self.limits, self.hints = ReportLimits(own, burst, all_), Hints(blind)
         self.counts = dict.fromkeys(ReportOutcome, 0)
         self._by_address, self.senders = dict[str, Sender](), dict[str, Sender]()
-        self._expiry = TimingWheel[str](TICK, now)
-        self._word = Envelope()
+        self._expiry = TimingWheel[str](EXPIRY_TICK, now)
+        self._envelope = Envelope()
         self.current_hints = dict[str, float]()  # the hints of the last period
-        self.version = 0  # of who may report from where
+        self.version = 0  # changes with the set of senders and addresses
 
     def register(self, name: str, address: str, token: bytes) -> None:
-        """A server that reports from this address with this token; the same again changes nothing."""
+        """Registers a server that reports from this address with this token. Idempotent."""
         known = self.senders.get(name)
         if known is not None and (known.address, known.token) == (address, token):
             return
@@ -98,94 +97,103 @@
             self._expiry.cancel(name)
 
     def addresses(self) -> list[str]:
+        """The addresses that servers report from."""
         return list(self._by_address)
 
-    def passed_over(self, address: str, many: int) -> None:
-        """Reports that newer ones of their sender pushed out before they were read."""
-        self.counts[ReportOutcome.OVER_OWN] += many
+    def count_passed_over(self, address: str, count: int) -> None:
+        """Counts reports that were displaced by newer ones of the same sender before they were read."""
+        self.counts[ReportOutcome.OVER_OWN] += count
         if (sender := self._by_address.get(address)) is not None:
-            self.limits.heavy.add(sender.name, many)
+            self.limits.heavy.add(sender.name, count)
 
     def report(self, address: str, data: bytes, now: int) -> ReportOutcome:
-        """One report as it came from an address."""
-        fate = self._report(address, data, now)
-        self.counts[fate] += 1
-        return fate
+        """Processes and counts a report received from an address."""
+        outcome = self._report(address, data, now)
+        self.counts[outcome] += 1
+        return outcome
 
     def _report(self, address: str, data: bytes, now: int) -> ReportOutcome:
         sender = self._by_address.get(address)
         if sender is None:
             return ReportOutcome.STRANGER
-        taken = self.limits.admit(sender.name, now)
-        if taken is not RateVerdict.ACCEPTED:
+        verdict = self.limits.admit(sender.name, now)
+        if verdict is not RateVerdict.ACCEPTED:
             return (
-                ReportOutcome.OVER_OWN if taken is RateVerdict.OVER_SENDER_BUDGET else ReportOutcome.OVER_ALL
+                ReportOutcome.OVER_OWN
+                if verdict is RateVerdict.OVER_SENDER_BUDGET
+                else ReportOutcome.OVER_ALL
             )
         if len(data) > MAX_REPORT_BYTES:
             return ReportOutcome.OVERSIZED
-        word = self._word
+        envelope = self._envelope
         try:
-            word.ParseFromString(data)
+            envelope.ParseFromString(data)
         except DecodeError:
             return ReportOutcome.MALFORMED
-        if word.server != sender.name or not hmac.compare_digest(word.token, sender.token):
+        if envelope.server != sender.name or not hmac.compare_digest(envelope.token, sender.token):
             return ReportOutcome.FORGED
-        fate = self._take(sender, word.boot, word.number, 10.0 * word.uptime, load_of(word.report), now)
-        if fate is ReportOutcome.TAKEN and 0.0 <= word.report.rps_fractional < FASTEST:
-            sender.rate = word.report.rps_fractional
-        return fate
+        outcome = self._add_reading(
+            sender, envelope.boot, envelope.number, 10.0 * envelope.uptime, load_of(envelope.report), now
+        )
+        if outcome is ReportOutcome.TAKEN and 0.0 <= envelope.report.rps_fractional < MAX_TXNS_PER_SECOND:
+            sender.rate = envelope.report.rps_fractional
+        return outcome
 
     def rates(self, now: int) -> dict[str, float]:
-        """Txns a second by server, as those whose reports are fresh say."""
-        return {name: one.rate for name, one in self.senders.items() if one.reading.freshness(now) >= 1.0}
+        """The reported txns per second of each server whose reading is fresh."""
+        return {
+            name: sender.rate for name, sender in self.senders.items() if sender.reading.freshness(now) >= 1.0
+        }
 
     def record_agent_check(self, name: str, answer: AgentStatus, now: int) -> None:
-        """What an agent check brought: its weight tells how much of the server is free."""
+        """Processes the answer to an agent check. Its weight states how much of the server is free."""
         sender = self.senders.get(name)
         if sender is None:
             return
         sender.agent = answer
         if answer.weight is not None:
-            sender.numbers += 1
+            sender.checks += 1
             self.counts[
-                self._take(sender, 0, sender.numbers, float(now), max(0.0, 1.0 - answer.weight), now)
+                self._add_reading(sender, 0, sender.checks, float(now), max(0.0, 1.0 - answer.weight), now)
             ] += 1
 
-    def _take(
+    def _add_reading(
         self, sender: Sender, boot: int, number: int, uptime: float, load: float, now: int
     ) -> ReportOutcome:
-        fresh = sender.reading.boot < 0
-        fate = ORDERS[sender.reading.add(boot, number, uptime, load, now)]
-        if fresh and fate is ReportOutcome.TAKEN:
-            self._expiry.set(sender.name, now + GONE)
-        return fate
+        is_first = sender.reading.boot < 0
+        outcome = OUTCOMES[sender.reading.add(boot, number, uptime, load, now)]
+        if is_first and outcome is ReportOutcome.TAKEN:
+            self._expiry.set(sender.name, now + GONE_AFTER)
+        return outcome
 
     def update_hints(self, latency: Mapping[str, float], now: int) -> dict[str, float]:
-        """Once a period: forgets what is long gone, and says how far each server's weight may move."""
-        for name in self._expiry.advance(now):  # armed anew only where it is due: a report costs nothing here
+        """Called once per period: drops expired readings and returns the hints, one factor for each server's
+        weight. latency: server -> measured mean latency relative to the fleet's."""
+        # Expiry times are moved only when they are reached, so that a report doesn't pay for it.
+        for name in self._expiry.advance(now):
             sender = self.senders[name]
-            if now - sender.reading.last_heard >= GONE:
+            if now - sender.reading.last_heard >= GONE_AFTER:
                 sender.reading = Reading()
             else:
-                self._expiry.set(name, sender.reading.last_heard + GONE)
+                self._expiry.set(name, sender.reading.last_heard + GONE_AFTER)
         loads = {
-            name: (sender.reading.value(), say)
+            name: (sender.reading.value(), freshness)
             for name, sender in self.senders.items()
-            if (say := sender.reading.freshness(now)) > 0
+            if (freshness := sender.reading.freshness(now)) > 0
         }
         self.current_hints = self.hints.period(loads, latency)
         return self.current_hints
 
     def distributions(self, now: int) -> tuple[QuantileSketch, QuantileSketch]:
-        """Loads and ages (s) of the fleet's readings."""
+        """The distributions of the loads and of the ages (in seconds) of all readings."""
         loads, ages = QuantileSketch(), QuantileSketch()
         for sender in self.senders.values():
             if sender.reading.boot >= 0:
                 loads.add(sender.reading.value())
-                ages.add((now - sender.reading.last_heard) / TENTHS)
+                ages.add((now - sender.reading.last_heard) / TICKS_PER_SECOND)
         return loads, ages
 
 
 def load_of(report: OrcaLoadReport) -> float:
-    """The load of a report: the application's own measure if it gives one, else its CPU's; 1 is full."""
+    """The load in a report, 1 being full: the application's own measure if given, else that of the CPU."""
     return report.application_utilization or report.cpu_utilization
--- a/rushladder/store/commands.py
+++ b/rushladder/store/commands.py
@@ -1,9 +1,11 @@
-"""Operators' commands that carry an id: each takes effect once, whatever repeats it, over restarts too.
-Free of I/O; times are milliseconds of a wall clock.
+"""Deduplication of operator commands that carry an id: each takes effect at most once, even across restarts.
 
-A command is noted before it runs and its answer after; both survive before the next step is taken. A repeat
-with the same id is answered from the note. Of one that was begun when the manager died it is not known
-whether it ran: it is run again only where a second run changes nothing."""
+Performs no I/O. Times are wall-clock milliseconds.
+
+A command is journalled before it runs and its answer is journalled afterwards; the caller waits for each of
+the two records to be durable before it goes on. A repeat with the same id is answered from the journal. If
+the manager died while a command was running, it is unknown whether the command took effect; such a command
+is run again only if it is idempotent."""
 
 from __future__ import annotations
 
@@ -12,15 +14,13 @@
 
 import attrs
 
-from rushladder.store.memory import COMMAND_ENDS, COMMANDS
+from rushladder.store.memory import MAX_COMMANDS, MAX_COMMAND_AGE
 from rushladder.store.store_pb2 import CommandMemory
 
-MAX_ID_LENGTH, MAX_COMMAND_LENGTH = (
-    64,
-    4096,
-)  # characters of an id, and of a command's words: a version's line of factors
+# Characters of an id and of a command's text. The longest command is a version's line of factors.
+MAX_ID_LENGTH, MAX_COMMAND_LENGTH = 64, 4096
 
-# Commands that change nothing the second time: one cut short by a crash may be carried out again.
+# Commands that change nothing when run a second time, so that one interrupted by a crash may be run again.
 IDEMPOTENT = {
     ("set", "server"),
     ("enable", "server"),
@@ -28,106 +28,126 @@
     ("add", "server"),
     ("set", "weight"),
 }
-DURABLE_TIMEOUT = 5.0  # s for a note to survive: a slow disk's worst sync, and less than a client's patience
+# Seconds to wait for a journal entry to be durable: longer than the worst sync of a slow disk, shorter than
+# a client's patience.
+DURABLE_TIMEOUT = 5.0
 
 
 def is_idempotent(verb: tuple[str, ...]) -> bool:
+    """Whether a command may be run again when its first run was interrupted."""
     return verb in IDEMPOTENT or verb[0] == "show"
 
 
 class State(Enum):
-    NEW = "never heard of"
-    RUNNING = "being carried out now"
-    CUT_SHORT = "begun in an earlier life, no answer known"
+    """What the journal knows about a command id."""
+
+    NEW = "unknown id"
+    RUNNING = "running now"
+    INTERRUPTED = "started by an earlier incarnation of the manager, answer unknown"
     ANSWERED = "answered"
 
 
-class Sign(Enum):
-    ONCE = "the same words, and a second run would change something"
-    REPEATABLE = "the same words, and a second run changes nothing"
-    OTHER = "other words under the same id"
+class Request(Enum):
+    """How a request relates to the journal entry with the same id."""
+
+    NOT_IDEMPOTENT = "the same command, and a second run would have an effect"
+    IDEMPOTENT = "the same command, and a second run has no effect"
+    DIFFERENT = "a different command under the same id"
 
 
 class Effect(Enum):
-    RUN = "note it, run it, note the answer"
-    ANSWER = "answer from the note"
-    WAIT = "it is being carried out"
-    UNKNOWN = "it is not known whether it ran"
+    """What to do with a request. The value completes the message "Not carried out: ..."."""
+
+    RUN = "journal the command, run it, journal its answer"
+    ANSWER = "reply with the journalled answer"
+    WAIT = "the command is still running"
+    UNKNOWN = "it is unknown whether the command ran before the manager restarted"
     REFUSE = "the id is taken by another command"
 
 
-EFFECTS: dict[tuple[State, Sign], Effect] = {
-    (State.NEW, Sign.ONCE): Effect.RUN,
-    (State.NEW, Sign.REPEATABLE): Effect.RUN,
-    (State.NEW, Sign.OTHER): Effect.RUN,  # forgotten by now: a new command
-    (State.RUNNING, Sign.ONCE): Effect.WAIT,
-    (State.RUNNING, Sign.REPEATABLE): Effect.WAIT,
-    (State.CUT_SHORT, Sign.ONCE): Effect.UNKNOWN,
-    (State.CUT_SHORT, Sign.REPEATABLE): Effect.RUN,
-    (State.ANSWERED, Sign.ONCE): Effect.ANSWER,
-    (State.ANSWERED, Sign.REPEATABLE): Effect.ANSWER,
-    **{(state, Sign.OTHER): Effect.REFUSE for state in State if state is not State.NEW},
+EFFECTS: dict[tuple[State, Request], Effect] = {
+    (State.NEW, Request.NOT_IDEMPOTENT): Effect.RUN,
+    (State.NEW, Request.IDEMPOTENT): Effect.RUN,
+    (State.NEW, Request.DIFFERENT): Effect.RUN,  # the earlier entry has expired, so this is a new command
+    (State.RUNNING, Request.NOT_IDEMPOTENT): Effect.WAIT,
+    (State.RUNNING, Request.IDEMPOTENT): Effect.WAIT,
+    (State.INTERRUPTED, Request.NOT_IDEMPOTENT): Effect.UNKNOWN,
+    (State.INTERRUPTED, Request.IDEMPOTENT): Effect.RUN,
+    (State.ANSWERED, Request.NOT_IDEMPOTENT): Effect.ANSWER,
+    (State.ANSWERED, Request.IDEMPOTENT): Effect.ANSWER,
+    **{(state, Request.DIFFERENT): Effect.REFUSE for state in State if state is not State.NEW},
 }
 
 
 @attrs.define
-class Noted:
-    words: str
+class JournalEntry:
+    """A command's text, the time it was first received, its state and its answer."""
+
+    command: str
     at: int
     state: State
     answer: str = ""
 
     def payload(self) -> bytes:
+        """The entry as it is stored."""
         return CommandMemory(
-            at=self.at, words=self.words, answer=self.answer, answered=self.state is State.ANSWERED
+            at=self.at, words=self.command, answer=self.answer, answered=self.state is State.ANSWERED
         ).SerializeToString()
 
 
 class Journal:
-    """Commands by id, bounded in number and age; one that is being carried out is never forgotten."""
+    """Commands by id, bounded in number and age. A running command is never evicted.
+
+    stored: the records of earlier incarnations; now: the current time.
+    """
 
-    def __init__(self, kept: Iterable[tuple[str, CommandMemory]] = (), now: int = 0) -> None:
-        self._noted = dict[str, Noted]()
+    def __init__(self, stored: Iterable[tuple[str, CommandMemory]] = (), now: int = 0) -> None:
+        self._entries = dict[str, JournalEntry]()
         self.answered_from_journal = self.unknown_outcomes = 0
-        for name, memory in sorted(kept, key=lambda pair: pair[1].at):
-            if now - memory.at < COMMAND_ENDS:
-                state = State.ANSWERED if memory.answered else State.CUT_SHORT
-                self._noted[name] = Noted(memory.words, memory.at, state, memory.answer)
+        for command_id, record in sorted(stored, key=lambda pair: pair[1].at):
+            if now - record.at < MAX_COMMAND_AGE:
+                state = State.ANSWERED if record.answered else State.INTERRUPTED
+                self._entries[command_id] = JournalEntry(record.words, record.at, state, record.answer)
 
     def __len__(self) -> int:
-        return len(self._noted)
-
-    def __getitem__(self, name: str) -> Noted:
-        return self._noted[name]
-
-    def begin(self, name: str, words: str, idempotent: bool, now: int) -> Effect:
-        """What to do with a command that came under an id; where it is to run, it is noted as running."""
-        noted = self._noted.get(name)
-        state = State.NEW if noted is None else noted.state
-        sign = Sign.REPEATABLE if idempotent else Sign.ONCE
-        if noted is not None and noted.words != words:
-            sign = Sign.OTHER
-        effect = EFFECTS[state, sign]
+        return len(self._entries)
+
+    def __getitem__(self, command_id: str) -> JournalEntry:
+        return self._entries[command_id]
+
+    def begin(self, command_id: str, command: str, idempotent: bool, now: int) -> Effect:
+        """Decides what to do with a request. If the command is to run, it is entered as running."""
+        entry = self._entries.get(command_id)
+        state = State.NEW if entry is None else entry.state
+        request = Request.IDEMPOTENT if idempotent else Request.NOT_IDEMPOTENT
+        if entry is not None and entry.command != command:
+            request = Request.DIFFERENT
+        effect = EFFECTS[state, request]
         self.answered_from_journal += effect is Effect.ANSWER
         self.unknown_outcomes += effect is Effect.UNKNOWN
         if effect is Effect.RUN:
-            self._noted[name] = Noted(words, now, State.RUNNING)
+            self._entries[command_id] = JournalEntry(command, now, State.RUNNING)
         return effect
 
-    def record_answer(self, name: str, answer: str) -> Noted:
-        noted = self._noted[name]
-        noted.state, noted.answer = State.ANSWERED, answer
-        return noted
+    def record_answer(self, command_id: str, answer: str) -> JournalEntry:
+        """Marks a command as done and keeps its answer for repeats."""
+        entry = self._entries[command_id]
+        entry.state, entry.answer = State.ANSWERED, answer
+        return entry
 
-    def cancel(self, name: str) -> None:
-        """It could not be noted, and was not run: the id is free again."""
-        self._noted.pop(name, None)
+    def cancel(self, command_id: str) -> None:
+        """Frees the id of a command that was not run because its entry could not be made durable."""
+        self._entries.pop(command_id, None)
 
     def expire(self, now: int) -> list[str]:
-        """Forgets what is too old or too much; the ids that are gone."""
-        done = [name for name, noted in self._noted.items() if noted.state is not State.RUNNING]
-        over = max(0, len(self._noted) - COMMANDS)
-        gone = [name for k, name in enumerate(done) if k < over or now - self._noted[name].at >= COMMAND_ENDS]
-        for name in gone:
-            del self._noted[name]
-        return gone
+        """Evicts entries that are too old, and the oldest ones above the maximum. Returns their ids."""
+        done = [command_id for command_id, entry in self._entries.items() if entry.state is not State.RUNNING]
+        excess = max(0, len(self._entries) - MAX_COMMANDS)
+        expired = [
+            command_id
+            for k, command_id in enumerate(done)
+            if k < excess or now - self._entries[command_id].at >= MAX_COMMAND_AGE
+        ]
+        for command_id in expired:
+            del self._entries[command_id]
+        return expired
--- a/rushladder/store/files.py
+++ b/rushladder/store/files.py
@@ -1,5 +1,6 @@
-"""The one way to the disk: a folder of files that are appended to, synced and renamed. Everything above is
-free of I/O and can be given another folder."""
+"""The store's only access to the disk: a folder of files that are appended to, synced and renamed.
+
+The modules above perform no I/O of their own, so tests can pass another implementation of Folder."""
 
 from __future__ import annotations
 
@@ -10,23 +11,24 @@
 
 
 class FolderLocked(Exception):
-    """Another process writes in this folder."""
+    """Another process holds the lock of this folder."""
 
 
 class Folder(Protocol):
-    """Names are plain file names. All methods raise OSError where the disk does not do what was asked."""
+    """File operations within one folder. Names are plain file names. All methods raise OSError on failure."""
 
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Creates the file where there is none. What was appended survives only once synced."""
+        """Appends to a file and creates it if needed. The data is durable only after `sync`."""
 
     def sync(self, name: str) -> None: ...
 
     def rename(self, name: str, other: str) -> None:
-        """Replaces `other`. Survives only once the folder is synced, as creating and removing do."""
+        """Renames a file, replacing `other`. Like creating and removing files, it is durable only after
+        `sync_folder`."""
 
     def remove(self, name: str) -> None: ...
 
@@ -34,9 +36,9 @@
 
 
 class Disk:
-    """A real folder, locked for one writer as long as it is open.
+    """A folder on disk. With `lock`, it is locked for a single writer until it is closed.
 
-    Raises Locked, and OSError where the folder can't be made, opened or locked.
+    Raises FolderLocked, and OSError if the folder can't be created, opened or locked.
     """
 
     def __init__(self, path: str, lock: bool = True) -> None:
@@ -54,8 +56,9 @@
                 raise FolderLocked(f"{path}: another process writes here") from None
 
     def close(self) -> None:
-        for handle in self._open.values():
-            os.close(handle)
+        """Closes all files and releases the lock."""
+        for descriptor in self._open.values():
+            os.close(descriptor)
         self._open.clear()
         if self._lock >= 0:
             os.close(self._lock)
@@ -68,12 +71,12 @@
         return (self._path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        handle = self._open.get(name)
-        if handle is None:
+        descriptor = self._open.get(name)
+        if descriptor is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-            handle = self._open[name] = os.open(self._path / name, flags, 0o600)
+            descriptor = self._open[name] = os.open(self._path / name, flags, 0o600)
         while data:
-            data = data[os.write(handle, data) :]
+            data = data[os.write(descriptor, data) :]
 
     def sync(self, name: str) -> None:
         os.fsync(self._open[name])
@@ -88,11 +91,11 @@
         os.unlink(self._path / name)
 
     def sync_folder(self) -> None:
-        handle = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def _close(self, name: str) -> None:
         if name in self._open:
--- a/rushladder/structures/__init__.py
+++ b/rushladder/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures made for the job, each measured against the plain one in `benchmarks/`. Free of I/O."""
+"""Specialized data structures, each compared with the straightforward one in `benchmarks/`. No I/O."""
--- a/rushladder/structures/heavy_hitters.py
+++ b/rushladder/structures/heavy_hitters.py
@@ -1,7 +1,7 @@
-"""Heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi).
+"""Heavy hitters in bounded memory, by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi).
 
-With `most` counters, a count is over by at most all that was counted, divided by `most`; whoever sent more
-than that is surely among them.
+With `max_counters` counters, a count is too high by at most the total divided by `max_counters`. Every key
+with a greater share is certain to be among the counted ones.
 """
 
 from __future__ import annotations
@@ -13,42 +13,42 @@
 
 
 class HeavyHitters(Generic[K]):
-    """Counts by key, in buckets of equal counts, so that adding one is a few dictionary steps."""
+    """Counts by key. Keys with equal counts share a bucket, so adding takes a few dictionary operations."""
 
-    def __init__(self, most: int) -> None:
-        self._most, self.total = most, 0
-        self._count, self._over = dict[K, int](), dict[K, int]()
+    def __init__(self, max_counters: int) -> None:
+        self._max_counters, self.total = max_counters, 0
+        self._counts, self._errors = dict[K, int](), dict[K, int]()
         self._buckets = dict[int, dict[K, None]]()
 
-    def add(self, key: K, many: int = 1) -> None:
-        self.total += many
-        if key in self._count:
-            self._move(key, self._count[key] + many)
+    def add(self, key: K, amount: int = 1) -> None:
+        self.total += amount
+        if key in self._counts:
+            self._move(key, self._counts[key] + amount)
             return
-        over = 0
-        if len(self._count) >= self._most:
-            over = min(self._buckets)  # of no more buckets than counters
-            gone = next(iter(self._buckets[over]))
-            self._take(gone)
-            del self._count[gone], self._over[gone]
-        self._over[key] = over
-        self._put(key, over + many)
-
-    def top(self, many: int) -> list[tuple[K, int, int]]:
-        """Key, count, and by how much the count may be over; the greatest first."""
-        some = sorted(self._count, key=lambda key: -self._count[key])[:many]
-        return [(key, self._count[key], self._over[key]) for key in some]
+        error = 0
+        if len(self._counts) >= self._max_counters:
+            error = min(self._buckets)  # there are at most as many buckets as counters
+            evicted = next(iter(self._buckets[error]))
+            self._remove(evicted)
+            del self._counts[evicted], self._errors[evicted]
+        self._errors[key] = error
+        self._insert(key, error + amount)
+
+    def top(self, limit: int) -> list[tuple[K, int, int]]:
+        """Key, count, and by how much the count may be too high. Highest count first."""
+        keys = sorted(self._counts, key=lambda key: -self._counts[key])[:limit]
+        return [(key, self._counts[key], self._errors[key]) for key in keys]
 
     def _move(self, key: K, count: int) -> None:
-        self._take(key)
-        self._put(key, count)
+        self._remove(key)
+        self._insert(key, count)
 
-    def _take(self, key: K) -> None:
-        bucket = self._buckets[self._count[key]]
+    def _remove(self, key: K) -> None:
+        bucket = self._buckets[self._counts[key]]
         del bucket[key]
         if not bucket:
-            del self._buckets[self._count[key]]
+            del self._buckets[self._counts[key]]
 
-    def _put(self, key: K, count: int) -> None:
-        self._count[key] = count
+    def _insert(self, key: K, count: int) -> None:
+        self._counts[key] = count
         self._buckets.setdefault(count, {})[key] = None
--- a/rushladder/structures/quantiles.py
+++ b/rushladder/structures/quantiles.py
@@ -1,55 +1,60 @@
-"""Quantiles with a bounded relative error in bounded memory, mergeable: buckets that grow by a constant
-factor.
+"""A mergeable quantile sketch with bounded relative error and bounded memory.
 
-After Masson, Rim and Lee, "DDSketch": a value lies in the bucket of its logarithm, so a quantile is off by
-at most `error` of itself. Values under the least count as 0; at most `most` buckets are kept, the lowest
-fall together.
+After Masson, Rim and Lee, "DDSketch": the width of the buckets grows by a constant factor and a value falls
+into the bucket of its logarithm, so a quantile is off by at most `error` relative to its value. Values below
+MIN_VALUE count as 0. If there are more than `max_buckets` buckets, the lowest ones are merged.
 """
 
 from __future__ import annotations
 
 import math
 
-LEAST = 1e-6
+MIN_VALUE = 1e-6
 
 
 class QuantileSketch:
-    def __init__(self, error: float = 0.02, most: int = 512) -> None:
-        self._log, self._error, self._most = math.log((1 + error) / (1 - error)), error, most
-        self.buckets, self.zeros, self.many = dict[int, int](), 0, 0
-
-    def add(self, value: float, many: int = 1) -> None:
-        self.many += many
-        if value < LEAST:
-            self.zeros += many
+    """error: maximum relative error of a quantile; max_buckets: maximum number of buckets."""
+
+    def __init__(self, error: float = 0.02, max_buckets: int = 512) -> None:
+        self._log_growth, self._error, self._max_buckets = (
+            math.log((1 + error) / (1 - error)),
+            error,
+            max_buckets,
+        )
+        self.buckets, self.zeros, self.count = dict[int, int](), 0, 0
+
+    def add(self, value: float, count: int = 1) -> None:
+        self.count += count
+        if value < MIN_VALUE:
+            self.zeros += count
             return
-        place = math.ceil(math.log(value) / self._log)
-        self.buckets[place] = self.buckets.get(place, 0) + many
-        self._bound()
+        index = math.ceil(math.log(value) / self._log_growth)
+        self.buckets[index] = self.buckets.get(index, 0) + count
+        self._limit_buckets()
 
     def merge(self, other: QuantileSketch) -> None:
-        """As if all that the other was given had been given to this one. Both must have the same error."""
+        """Adds all values of another sketch. Raises ValueError unless both have the same error."""
         if other._error != self._error:
-            raise ValueError("sketches of different errors can't be merged")
-        for place, many in other.buckets.items():
-            self.buckets[place] = self.buckets.get(place, 0) + many
+            raise ValueError("sketches with different errors can't be merged")
+        for index, count in other.buckets.items():
+            self.buckets[index] = self.buckets.get(index, 0) + count
         self.zeros += other.zeros
-        self.many += other.many
-        self._bound()
+        self.count += other.count
+        self._limit_buckets()
 
-    def quantile(self, part: float) -> float:
-        """The value under which `part` of all lie; 0 if there are none."""
-        rank = part * max(0, self.many - 1)
+    def quantile(self, fraction: float) -> float:
+        """The value below which `fraction` of all values lie. 0 if there are none."""
+        rank = fraction * max(0, self.count - 1)
         seen = float(self.zeros)
         if seen > rank or not self.buckets:
             return 0.0
-        for place in sorted(self.buckets):
-            seen += self.buckets[place]
+        for index in sorted(self.buckets):
+            seen += self.buckets[index]
             if seen > rank:
                 break
-        return 2 * math.exp(place * self._log) / (1 + math.exp(self._log))
+        return 2 * math.exp(index * self._log_growth) / (1 + math.exp(self._log_growth))
 
-    def _bound(self) -> None:
-        if len(self.buckets) > self._most:
+    def _limit_buckets(self) -> None:
+        if len(self.buckets) > self._max_buckets:
             first, second = sorted(self.buckets)[:2]
             self.buckets[second] += self.buckets.pop(first)
--- a/rushladder/structures/timing_wheel.py
+++ b/rushladder/structures/timing_wheel.py
@@ -1,8 +1,8 @@
-"""A hierarchical timing wheel: times of expiry that are mostly moved before they come.
+"""A hierarchical timing wheel, for expiry times that are usually moved before they are reached.
 
-Each level has slots of a width that is the level's below times their number. An entry lies in the lowest
-level that reaches its time; as time passes, a slot of a higher level is dealt out to the lower ones. Moving
-an entry costs two dictionary steps, whatever is in the wheel. After Varghese and Lauck, "Hashed and
+The slots of each level are as wide as the whole level below. An entry is in the lowest level that covers its
+time. When time reaches a slot of a higher level, its entries are redistributed to the lower levels. Moving an
+entry takes two dictionary operations, however many entries there are. After Varghese and Lauck, "Hashed and
 Hierarchical Timing Wheels".
 """
 
@@ -13,72 +13,73 @@
 
 K = TypeVar("K", bound=Hashable)
 
-SLOTS = 64  # a level: 64 x 64 x 64 ticks are 7 hours at a tenth of a second
+SLOTS = 64  # per level; three levels of 64 slots cover 7 hours at a tick of a tenth of a second
 
 
 class TimingWheel(Generic[K]):
-    """Entries by key, each with a time. tick: the width of the lowest level's slots; times are whole
-    numbers."""
+    """Keys with expiry times. Times are integers. tick: the width of the slots of the lowest level."""
 
     def __init__(self, tick: int, now: int, levels: int = 3) -> None:
-        self._tick, self._turn = tick, now // tick
+        self._tick, self._current_tick = tick, now // tick
         self._levels = [[dict[K, int]() for _ in range(SLOTS)] for _ in range(levels)]
-        self._where = dict[K, dict[K, int]]()
+        self._slot_of = dict[K, dict[K, int]]()
 
     def __len__(self) -> int:
-        return len(self._where)
+        return len(self._slot_of)
 
     def set(self, key: K, at: int) -> None:
-        """The key expires at `at`, and no earlier time counts any more. Past times expire with the next
-        advance."""
+        """Sets the expiry time of a key, replacing any earlier one. A time in the past expires with the next
+        `advance`."""
         self.cancel(key)
-        self._place(key, at)
+        self._insert(key, at)
 
     def cancel(self, key: K) -> None:
-        slot = self._where.pop(key, None)
+        slot = self._slot_of.pop(key, None)
         if slot is not None:
             del slot[key]
 
     def advance(self, now: int) -> list[K]:
-        """The keys whose time has come, in the order of their slots."""
-        found, turn = list[K](), now // self._tick
-        while self._turn < turn and self._where:
-            self._turn += 1
+        """Removes and returns the keys that have expired, in the order of their slots."""
+        expired, target = list[K](), now // self._tick
+        while self._current_tick < target and self._slot_of:
+            self._current_tick += 1
             for level in range(len(self._levels) - 1, 0, -1):
-                if self._turn % SLOTS**level == 0:
-                    self._deal(level)
-            slot = self._levels[0][self._turn % SLOTS]
-            due = [key for key, at in slot.items() if at // self._tick <= self._turn]
+                if self._current_tick % SLOTS**level == 0:
+                    self._redistribute(level)
+            slot = self._levels[0][self._current_tick % SLOTS]
+            due = [key for key, at in slot.items() if at // self._tick <= self._current_tick]
             for key in due:
-                del slot[key], self._where[key]
-            found += due
-        self._turn = max(self._turn, turn)
-        return found
+                del slot[key], self._slot_of[key]
+            expired += due
+        self._current_tick = max(self._current_tick, target)
+        return expired
 
-    def _place(self, key: K, at: int) -> None:
-        turn = max(at // self._tick, self._turn + 1)
-        away = turn - self._turn
+    def _insert(self, key: K, at: int) -> None:
+        tick = max(at // self._tick, self._current_tick + 1)
+        distance = tick - self._current_tick
         for level, slots in enumerate(self._levels):
-            if away < SLOTS ** (level + 1) or level == len(self._levels) - 1:
-                # Beyond the last level's reach an entry waits in its farthest slot and is dealt out anew.
-                reach = (
-                    min(turn, self._turn + SLOTS ** (level + 1) - SLOTS**level)
-                    if away >= SLOTS ** (level + 1)
-                    else turn
+            if distance < SLOTS ** (level + 1) or level == len(self._levels) - 1:
+                # An entry beyond the range of the last level waits in its farthest slot and is inserted again
+                # when that slot is reached.
+                slot_tick = (
+                    min(tick, self._current_tick + SLOTS ** (level + 1) - SLOTS**level)
+                    if distance >= SLOTS ** (level + 1)
+                    else tick
                 )
-                slot = slots[(reach // SLOTS**level) % SLOTS]
+                slot = slots[(slot_tick // SLOTS**level) % SLOTS]
                 slot[key] = at
-                self._where[key] = slot
+                self._slot_of[key] = slot
                 return
 
-    def _deal(self, level: int) -> None:
-        slot = self._levels[level][(self._turn // SLOTS**level) % SLOTS]
+    def _redistribute(self, level: int) -> None:
+        """Moves the entries of the current slot of a level to the levels below."""
+        slot = self._levels[level][(self._current_tick // SLOTS**level) % SLOTS]
         entries = list(slot.items())
         slot.clear()
         for key, at in entries:
-            if at // self._tick <= self._turn:
-                lowest = self._levels[0][self._turn % SLOTS]
+            if at // self._tick <= self._current_tick:
+                lowest = self._levels[0][self._current_tick % SLOTS]
                 lowest[key] = at
-                self._where[key] = lowest
+                self._slot_of[key] = lowest
             else:
-                self._place(key, at)
+                self._insert(key, at)
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Stories of load reports: bounded, ordered by their senders, aged, and believed by what they predicted."""
+"""Tests of load reports: rate limits, order, ageing, and trust by how well reports predicted latencies."""
 
 import contextlib
 import math
@@ -15,15 +15,15 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from rushladder.intake.agent import AgentStatus, InvalidAgentAnswer, read_agent
-from rushladder.intake.processor import ReportProcessor, ReportOutcome
-from rushladder.intake.hints import FAR, LAG, LESS, STEP, Hints
-from rushladder.intake.limits import ReportLimits, RateVerdict
-from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
+from rushladder.intake.agent import AgentStatus, InvalidAgentAnswer, parse_agent_answer
 from rushladder.intake.datagram_buffer import MAX_PER_SENDER, DatagramBuffer
-from rushladder.intake.receiver import BATCH_INTERVAL, Handing, Lane
+from rushladder.intake.hints import LAG, MAX_DECREASE, MAX_INCREASE, MAX_STEP, Hints
+from rushladder.intake.limits import RateVerdict, ReportLimits
+from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
 from rushladder.intake.ports import ReportStreams
-from rushladder.intake.readings import GONE, STALE, ReadingOutcome, Reading
+from rushladder.intake.processor import ReportOutcome, ReportProcessor
+from rushladder.intake.readings import GONE_AFTER, STALE_AFTER, Reading, ReadingOutcome
+from rushladder.intake.receiver import BATCH_INTERVAL, ManagerSide, ReceiverSide
 from rushladder.structures.heavy_hitters import HeavyHitters
 from rushladder.structures.quantiles import QuantileSketch
 from rushladder.structures.timing_wheel import TimingWheel
@@ -33,30 +33,32 @@
 SECOND = 10_000
 
 
-class StructureStories(unittest.TestCase):
+class StructureTests(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(
         st.lists(st.tuples(st.integers(0, 9), st.integers(0, 400_000)), max_size=60),
         st.lists(st.integers(1, 60_000), min_size=1, max_size=20),
     )
-    def test_the_wheel_expires_what_a_heap_does(self, sets: list[tuple[int, int]], steps: list[int]) -> None:
+    def test_the_timing_wheel_expires_the_same_keys_as_a_heap(
+        self, sets: list[tuple[int, int]], steps: list[int]
+    ) -> None:
         wheel, times, now = TimingWheel[int](100, 0), dict[int, int](), 0
-        todo = iter(sets)
+        remaining = iter(sets)
         for step in steps:
-            for _, (key, away) in zip(range(4), todo, strict=False):
-                wheel.set(key, now + away)
-                times[key] = now + away
+            for _, (key, delay) in zip(range(4), remaining, strict=False):
+                wheel.set(key, now + delay)
+                times[key] = now + delay
             now += step
-            gone = wheel.advance(now)
+            expired = wheel.advance(now)
             due = {key for key, at in times.items() if at // 100 <= now // 100}
-            late = {key for key in due if times[key] // 100 < now // 100}
-            self.assertTrue(late <= set(gone) <= due)
-            self.assertEqual(len(gone), len(set(gone)))
-            for key in gone:
+            overdue = {key for key in due if times[key] // 100 < now // 100}
+            self.assertTrue(overdue <= set(expired) <= due)
+            self.assertEqual(len(expired), len(set(expired)))
+            for key in expired:
                 del times[key]
         self.assertEqual(len(wheel), len(times))
 
-    def test_the_wheel_holds_times_beyond_its_reach(self) -> None:
+    def test_the_timing_wheel_accepts_times_beyond_its_range(self) -> None:
         wheel = TimingWheel[str](1, 0, levels=2)
         wheel.set("far", 64 * 64 * 5 + 7)
         self.assertEqual(wheel.advance(64 * 64 * 5 + 6), [])
@@ -64,82 +66,84 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, 30), max_size=400), st.integers(2, 12))
-    def test_heavy_hitters_are_off_by_no_more_than_stated(self, keys: list[int], most: int) -> None:
-        keys = [key for key in keys for _ in range(1 + key % 3)]  # some are added several at once
-        hitters, truth, place = HeavyHitters[int](most), Counter(keys), 0
-        while place < len(keys):
-            many = 1 + keys[place] % 3
-            hitters.add(keys[place], many)
-            place += many
-        found = {key: (count, over) for key, count, over in hitters.top(most)}
-        for key, (count, over) in found.items():
-            self.assertTrue(count - over <= truth[key] <= count and over <= len(keys) / most)
-        self.assertTrue({key for key, many in truth.items() if many > len(keys) / most} <= set(found))
+    def test_heavy_hitter_counts_are_within_the_error_bound(self, keys: list[int], max_counters: int) -> None:
+        keys = [key for key in keys for _ in range(1 + key % 3)]  # some keys are added several at once
+        hitters, exact, index = HeavyHitters[int](max_counters), Counter(keys), 0
+        while index < len(keys):
+            amount = 1 + keys[index] % 3
+            hitters.add(keys[index], amount)
+            index += amount
+        found = {key: (count, error) for key, count, error in hitters.top(max_counters)}
+        for key, (count, error) in found.items():
+            self.assertTrue(count - error <= exact[key] <= count and error <= len(keys) / max_counters)
+        self.assertTrue(
+            {key for key, count in exact.items() if count > len(keys) / max_counters} <= set(found)
+        )
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.floats(1e-3, 1e5), min_size=1, max_size=200), st.floats(0, 1), st.integers(0, 200))
-    def test_quantiles_are_off_by_no_more_than_stated_and_merge(
-        self, values: list[float], part: float, cut: int
+    def test_merged_quantiles_are_within_the_error_bound(
+        self, values: list[float], fraction: float, split: int
     ) -> None:
-        one, other = QuantileSketch(0.02), QuantileSketch(0.02)
-        for place, value in enumerate(values):
-            (one if place < cut else other).add(value)
-        one.merge(other)
-        truth = sorted(values)[math.floor(part * (len(values) - 1))]
-        self.assertLessEqual(abs(one.quantile(part) - truth), 0.0201 * truth)
+        sketch, other = QuantileSketch(0.02), QuantileSketch(0.02)
+        for index, value in enumerate(values):
+            (sketch if index < split else other).add(value)
+        sketch.merge(other)
+        exact = sorted(values)[math.floor(fraction * (len(values) - 1))]
+        self.assertLessEqual(abs(sketch.quantile(fraction) - exact), 0.0201 * exact)
 
 
-class AgentStories(unittest.TestCase):
-    def test_answers_as_the_manual_has_them(self) -> None:
-        self.assertEqual(read_agent(b"75%\n"), AgentStatus(weight=0.75))
-        self.assertEqual(read_agent(b"up 50% maxconn:30\r\nrest"), AgentStatus(0.5, None, True, 30))
-        self.assertEqual(read_agent(b"down #disk full"), AgentStatus(up=False, why="disk full"))
-        self.assertEqual(read_agent(b"drain,10%\n"), AgentStatus(weight=0.1, admin="drain"))
+class AgentTests(unittest.TestCase):
+    def test_answers_from_the_manual_are_parsed(self) -> None:
+        self.assertEqual(parse_agent_answer(b"75%\n"), AgentStatus(weight=0.75))
+        self.assertEqual(parse_agent_answer(b"up 50% maxconn:30\r\nrest"), AgentStatus(0.5, None, True, 30))
+        self.assertEqual(parse_agent_answer(b"down #disk full"), AgentStatus(up=False, why="disk full"))
+        self.assertEqual(parse_agent_answer(b"drain,10%\n"), AgentStatus(weight=0.1, admin="drain"))
 
-    def test_unclear_answers_count_for_nothing(self) -> None:
-        for bad in (b"75", b"-5%", b"9999%", b"up maybe", b"\xff\xfe", b"x" * 300):
-            self.assertRaises(InvalidAgentAnswer, read_agent, bad)
+    def test_invalid_answers_are_rejected(self) -> None:
+        for invalid in (b"75", b"-5%", b"9999%", b"up maybe", b"\xff\xfe", b"x" * 300):
+            self.assertRaises(InvalidAgentAnswer, parse_agent_answer, invalid)
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=80))
-    def test_any_bytes_are_read_or_refused(self, data: bytes) -> None:
+    def test_any_bytes_are_parsed_or_rejected(self, data: bytes) -> None:
         with contextlib.suppress(InvalidAgentAnswer):
-            self.assertTrue((read_agent(data).weight or 0.0) >= 0.0)
+            self.assertTrue((parse_agent_answer(data).weight or 0.0) >= 0.0)
 
 
-class LimitStories(unittest.TestCase):
-    def test_a_flood_gains_no_say_and_costs_its_neighbours_nothing(self) -> None:
-        limits, taken = ReportLimits(10.0, 5, 1000.0), Counter[str]()
+class LimitTests(unittest.TestCase):
+    def test_a_flood_gains_no_influence_and_costs_other_senders_nothing(self) -> None:
+        limits, accepted = ReportLimits(10.0, 5, 1000.0), Counter[str]()
         for tick in range(10 * SECOND // 10):
             now = tick * 10
             for _ in range(5):  # 5,000 a second
-                taken["flood"] += limits.admit("flood", now) is RateVerdict.ACCEPTED
+                accepted["flood"] += limits.admit("flood", now) is RateVerdict.ACCEPTED
             if tick % 200 == 0:
                 for k in range(20):
-                    taken[f"s{k}"] += limits.admit(f"s{k}", now) is RateVerdict.ACCEPTED
-        self.assertLessEqual(taken["flood"], 10 * 10 + 5)
-        self.assertEqual({taken[f"s{k}"] for k in range(20)}, {50})
+                    accepted[f"s{k}"] += limits.admit(f"s{k}", now) is RateVerdict.ACCEPTED
+        self.assertLessEqual(accepted["flood"], 10 * 10 + 5)
+        self.assertEqual({accepted[f"s{k}"] for k in range(20)}, {50})
         self.assertEqual(limits.heavy.top(1)[0][0], "flood")
 
-    def test_when_all_send_too_much_each_gets_the_same(self) -> None:
-        limits, taken, draw = ReportLimits(100.0, 5, 500.0), Counter[str](), Random(1).random
+    def test_when_all_senders_exceed_the_total_budget_each_gets_the_same_share(self) -> None:
+        limits, accepted, draw = ReportLimits(100.0, 5, 500.0), Counter[str](), Random(1).random
         for tick in range(5 * SECOND // 10):
             for k in range(100):
                 if draw() < (0.5 if k else 1.0):
-                    taken[f"s{k}"] += limits.admit(f"s{k}", tick * 10) is RateVerdict.ACCEPTED
-        self.assertLess(sum(taken.values()), 1.4 * 5 * 500 + 5 * 100)
-        self.assertLessEqual(max(taken.values()) - min(taken.values()), 4)
+                    accepted[f"s{k}"] += limits.admit(f"s{k}", tick * 10) is RateVerdict.ACCEPTED
+        self.assertLess(sum(accepted.values()), 1.4 * 5 * 500 + 5 * 100)
+        self.assertLessEqual(max(accepted.values()) - min(accepted.values()), 4)
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, 3000), max_size=300))
-    def test_no_sender_is_ever_taken_more_often_than_its_budget(self, gaps: list[int]) -> None:
-        limits, now, taken = ReportLimits(10.0, 5, 1000.0), 0, list[int]()
+    def test_no_sender_is_ever_accepted_more_often_than_its_budget_allows(self, gaps: list[int]) -> None:
+        limits, now, accepted = ReportLimits(10.0, 5, 1000.0), 0, list[int]()
         for gap in gaps:
             now += gap
             if limits.admit("s", now) is RateVerdict.ACCEPTED:
-                taken.append(now)
-        for start in taken:
-            self.assertLessEqual(sum(start <= at < start + SECOND for at in taken), 10 + 5)
+                accepted.append(now)
+        for start in accepted:
+            self.assertLessEqual(sum(start <= at < start + SECOND for at in accepted), 10 + 5)
 
 
 reports = st.lists(
@@ -150,23 +154,23 @@
 )
 
 
-class ReadingStories(unittest.TestCase):
+class ReadingTests(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(reports, st.randoms(use_true_random=False))
-    def test_any_order_of_the_same_reports_comes_to_the_same(
-        self, some: list[tuple[int, float]], draw: Random
+    def test_the_order_of_reports_does_not_change_the_reading(
+        self, loads: list[tuple[int, float]], random: Random
     ) -> None:
         values = list[float]()
         for _ in range(3):
             reading = Reading()
-            reading.add(1, 1, 0.0, 0.5, 0)  # of all lives the first report comes first
-            for number, load in some:
+            reading.add(1, 1, 0.0, 0.5, 0)  # the first report of an incarnation arrives first
+            for number, load in loads:
                 reading.add(1, number + 1, 1000.0 * number, load, SECOND * 100)
             values.append(reading.value())
-            draw.shuffle(some)
+            random.shuffle(loads)
         self.assertTrue(all(math.isclose(value, values[0], rel_tol=1e-9) for value in values), values)
 
-    def test_repeats_and_former_lives_do_not_count_and_a_restart_begins_anew(self) -> None:
+    def test_duplicates_and_earlier_incarnations_do_not_count_and_a_restart_resets_the_reading(self) -> None:
         reading = Reading()
         self.assertIs(reading.add(5, 100, 0.0, 0.9, 0), ReadingOutcome.NEW)
         self.assertIs(reading.add(5, 100, 0.0, 0.1, 1), ReadingOutcome.REPEATED)
@@ -174,9 +178,10 @@
         self.assertIs(reading.add(6, 1, 0.0, 0.2, 2), ReadingOutcome.NEW)
         self.assertIs(reading.add(5, 101, 9.0, 0.9, 3), ReadingOutcome.OLD_LIFE)
         self.assertEqual(reading.value(), 0.2)
-        self.assertIs(reading.add(5, 102, 9.0, 0.9, GONE + 3), ReadingOutcome.NEW)  # its clock was set back
+        # The server's clock was set back, so its boot number is lower.
+        self.assertIs(reading.add(5, 102, 9.0, 0.9, GONE_AFTER + 3), ReadingOutcome.NEW)
 
-    def test_readings_of_no_number_and_from_the_future_do_not_count(self) -> None:
+    def test_invalid_loads_and_reports_from_the_future_do_not_count(self) -> None:
         reading = Reading()
         reading.add(1, 1, 0.0, 0.5, SECOND)
         for load in (math.nan, math.inf, -1.0, 1e9):
@@ -184,30 +189,34 @@
         self.assertIs(reading.add(1, 2, 3600.0 * SECOND, 0.0, 2 * SECOND), ReadingOutcome.UNREAL)
         self.assertEqual(reading.value(), 0.5)
 
-    def test_a_stale_reading_says_less_and_then_nothing(self) -> None:
+    def test_a_stale_reading_loses_its_influence(self) -> None:
         reading = Reading()
         self.assertEqual(reading.freshness(0), 0.0)
         reading.add(1, 1, 0.0, 0.5, SECOND)
-        says = [reading.freshness(SECOND + age) for age in (0, STALE, (STALE + GONE) // 2, GONE, 9 * GONE)]
-        self.assertEqual(says, [1.0, 1.0, 0.5, 0.0, 0.0])
+        values = [
+            reading.freshness(SECOND + age)
+            for age in (0, STALE_AFTER, (STALE_AFTER + GONE_AFTER) // 2, GONE_AFTER, 9 * GONE_AFTER)
+        ]
+        self.assertEqual(values, [1.0, 1.0, 0.5, 0.0, 0.0])
 
-    def test_after_hours_of_silence_the_sums_are_still_numbers(self) -> None:
+    def test_the_sums_stay_finite_after_hours_without_reports(self) -> None:
         reading = Reading()
         reading.add(1, 1, 0.0, 0.5, 0)
         reading.add(1, 2, 36_000.0 * SECOND, 0.9, 36_000 * SECOND)
         self.assertAlmostEqual(reading.value(), 0.9)
 
 
-class DeskStories(unittest.TestCase):
+class ReportProcessorTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = ReportProcessor(0)
+        self.processor = ReportProcessor(0)
         for k in range(4):
-            self.desk.register(f"s{k}", f"127.0.1.{k}", bytes([k]) * 8)
+            self.processor.register(f"s{k}", f"127.0.1.{k}", bytes([k]) * 8)
 
-    def word(self, k: int, number: int, load: float, boot: int = 1, claims: int | None = None) -> bytes:
-        who = k if claims is None else claims
+    def envelope(self, k: int, number: int, load: float, boot: int = 1, claimed: int | None = None) -> bytes:
+        """A report with the token of server k, under its name or under that of another one."""
+        name = k if claimed is None else claimed
         return Envelope(
-            server=f"s{who}",
+            server=f"s{name}",
             token=bytes([k]) * 8,
             boot=boot,
             number=number,
@@ -215,22 +224,22 @@
             report=OrcaLoadReport(cpu_utilization=load),
         ).SerializeToString()
 
-    def test_each_fate_is_counted(self) -> None:
-        fates = [
-            self.desk.report(address, data, SECOND)
+    def test_each_outcome_is_counted(self) -> None:
+        outcomes = [
+            self.processor.report(address, data, SECOND)
             for address, data in (
-                ("127.0.1.0", self.word(0, 1, 0.5)),
-                ("127.0.1.0", self.word(0, 1, 0.5)),
-                ("127.0.1.9", self.word(0, 2, 0.5)),
-                ("127.0.1.1", self.word(0, 2, 0.5)),
-                ("127.0.1.1", self.word(1, 2, 0.5, claims=2)),
+                ("127.0.1.0", self.envelope(0, 1, 0.5)),
+                ("127.0.1.0", self.envelope(0, 1, 0.5)),
+                ("127.0.1.9", self.envelope(0, 2, 0.5)),
+                ("127.0.1.1", self.envelope(0, 2, 0.5)),
+                ("127.0.1.1", self.envelope(1, 2, 0.5, claimed=2)),
                 ("127.0.1.1", b"\xff" * 30),
                 ("127.0.1.1", b"x" * 5000),
-                ("127.0.1.2", self.word(2, 1, math.nan)),
+                ("127.0.1.2", self.envelope(2, 1, math.nan)),
             )
         ]
         self.assertEqual(
-            fates,
+            outcomes,
             [
                 ReportOutcome.TAKEN,
                 ReportOutcome.REPEATED,
@@ -242,170 +251,176 @@
                 ReportOutcome.UNREAL,
             ],
         )
-        self.assertEqual(sum(self.desk.counts.values()), 8)
+        self.assertEqual(sum(self.processor.counts.values()), 8)
 
-    def test_a_flood_is_turned_away_before_it_is_read_and_memory_stays(self) -> None:
-        data = self.word(0, 1, 0.0)
+    def test_a_flood_is_rejected_before_it_is_decoded_and_memory_stays_bounded(self) -> None:
+        data = self.envelope(0, 1, 0.0)
         for turn in range(50_000):
-            self.desk.report("127.0.1.0", data, SECOND + turn // 10)
-            self.desk.report(f"10.0.{turn % 250}.{turn // 250}", data, SECOND + turn // 10)
-        self.assertEqual((len(self.desk.senders), len(self.desk._expiry)), (4, 1))
-        self.assertLess(self.desk.counts[ReportOutcome.REPEATED], 30)
-        self.assertGreater(self.desk.counts[ReportOutcome.OVER_OWN], 49_900)
+            self.processor.report("127.0.1.0", data, SECOND + turn // 10)
+            self.processor.report(f"10.0.{turn % 250}.{turn // 250}", data, SECOND + turn // 10)
+        self.assertEqual((len(self.processor.senders), len(self.processor._expiry)), (4, 1))
+        self.assertLess(self.processor.counts[ReportOutcome.REPEATED], 30)
+        self.assertGreater(self.processor.counts[ReportOutcome.OVER_OWN], 49_900)
 
-    def test_readings_that_end_stop_steering_and_are_forgotten(self) -> None:
+    def test_readings_without_reports_lose_their_influence_and_are_dropped(self) -> None:
         for second in range(1, 40):
             for k, load in enumerate((0.2, 0.5, 0.5, 0.9)):
-                self.desk.report(f"127.0.1.{k}", self.word(k, second, load), second * SECOND)
-            hints = self.desk.update_hints({"s0": 0.4, "s1": 1.0, "s2": 1.0, "s3": 1.7}, second * SECOND)
+                self.processor.report(f"127.0.1.{k}", self.envelope(k, second, load), second * SECOND)
+            hints = self.processor.update_hints({"s0": 0.4, "s1": 1.0, "s2": 1.0, "s3": 1.7}, second * SECOND)
         self.assertLess(hints["s3"], 0.95)
         for second in range(40, 80):
-            hints = self.desk.update_hints({}, second * SECOND)
+            hints = self.processor.update_hints({}, second * SECOND)
         self.assertEqual(hints, {})
-        self.assertTrue(all(sender.reading.boot < 0 for sender in self.desk.senders.values()))
-
-    def lane(self, clock: Clock) -> tuple[Lane, Callable[[], None]]:
-        """A lane and its manager's side in memory, and what carries bytes between them."""
-        lane, handing = Lane(clock, lambda: None), Handing(self.desk, clock)
-        wires = StringTransport(), StringTransport()
-        lane.makeConnection(wires[0])  # type: ignore[no-untyped-call]
-        handing.makeConnection(wires[1])  # type: ignore[no-untyped-call]
-
-        def carry() -> None:
-            for wire, other in ((wires[0], handing), (wires[1], lane)):
-                data = wire.value()
-                wire.clear()
+        self.assertTrue(all(sender.reading.boot < 0 for sender in self.processor.senders.values()))
+
+    def receiver(self, clock: Clock) -> tuple[ReceiverSide, Callable[[], None]]:
+        """A receiver, its connection to the manager in memory, and a function that transfers the bytes."""
+        receiver, manager = ReceiverSide(clock, lambda: None), ManagerSide(self.processor, clock)
+        transports = StringTransport(), StringTransport()
+        receiver.makeConnection(transports[0])  # type: ignore[no-untyped-call]
+        manager.makeConnection(transports[1])  # type: ignore[no-untyped-call]
+
+        def transfer() -> None:
+            for transport, other in ((transports[0], manager), (transports[1], receiver)):
+                data = transport.value()
+                transport.clear()
                 other.dataReceived(data)  # type: ignore[no-untyped-call]
 
-        handing.turn()
-        carry()
-        return lane, carry
+        manager.request_batch()
+        transfer()
+        return receiver, transfer
 
-    def test_a_manager_that_stood_still_reads_the_newest_of_each_sender_first(self) -> None:
+    def test_a_manager_that_was_stalled_reads_the_newest_reports_of_each_sender_first(self) -> None:
         clock = Clock()
         clock.advance(10)
-        lane, carry = self.lane(clock)
-        lane.add(b"?", "10.9.9.9")
-        clock.advance(BATCH_INTERVAL)  # handed over, and not read: the manager stands still
-        for number in range(2, 42):  # two seconds of reports, in the order in which they came
+        receiver, transfer = self.receiver(clock)
+        receiver.add(b"?", "10.9.9.9")
+        clock.advance(BATCH_INTERVAL)  # sent and not read: the manager is stalled
+        for number in range(2, 42):  # two seconds of reports, in their order of arrival
             for k in range(4):
-                lane.add(self.word(k, number, 0.9 if number < 37 else 0.2), f"127.0.1.{k}")
+                receiver.add(self.envelope(k, number, 0.9 if number < 37 else 0.2), f"127.0.1.{k}")
             clock.advance(BATCH_INTERVAL)
         for _ in range(3):
-            carry()
+            transfer()
             clock.advance(BATCH_INTERVAL)
-        readings = [sender.reading for sender in self.desk.senders.values()]
+        readings = [sender.reading for sender in self.processor.senders.values()]
         self.assertEqual({reading.newest for reading in readings}, {41})
         self.assertTrue(all(reading.value() < 0.25 for reading in readings))
-        self.assertEqual(self.desk.counts[ReportOutcome.OVER_OWN], 4 * (40 - MAX_PER_SENDER))
+        self.assertEqual(self.processor.counts[ReportOutcome.OVER_OWN], 4 * (40 - MAX_PER_SENDER))
 
-    def test_the_lane_keeps_no_stranger_and_hears_of_changes_of_the_list(self) -> None:
+    def test_the_receiver_drops_unknown_senders_and_follows_changes_of_the_list(self) -> None:
         clock = Clock()
-        lane, carry = self.lane(clock)
+        receiver, transfer = self.receiver(clock)
         for turn in range(1000):
-            lane.add(b"?", f"10.9.9.{turn % 250}")
+            receiver.add(b"?", f"10.9.9.{turn % 250}")
         clock.advance(BATCH_INTERVAL)
-        carry()
-        self.assertEqual((self.desk.counts[ReportOutcome.STRANGER], len(lane.gathering)), (1000, 0))
-        self.desk.forget("s0")
-        lane.add(self.word(0, 1, 0.5), "127.0.1.0")  # gathered before the lane knows, and left out after
+        transfer()
+        self.assertEqual((self.processor.counts[ReportOutcome.STRANGER], len(receiver.buffer)), (1000, 0))
+        self.processor.forget("s0")
+        # Buffered before the receiver knows of the change, and then left out of the batch.
+        receiver.add(self.envelope(0, 1, 0.5), "127.0.1.0")
         clock.advance(BATCH_INTERVAL)
-        carry()
-        carry()
-        lane.add(self.word(0, 2, 0.5), "127.0.1.0")
-        self.assertEqual((len(lane.gathering), lane.gathering.strangers), (0, 1))
+        transfer()
+        transfer()
+        receiver.add(self.envelope(0, 2, 0.5), "127.0.1.0")
+        self.assertEqual((len(receiver.buffer), receiver.buffer.strangers), (0, 1))
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 9)), max_size=80))
-    def test_what_is_gathered_is_each_known_senders_newest(self, came: list[tuple[int, int]]) -> None:
-        gathering, by = DatagramBuffer({"a0", "a1", "a2"}), dict[str, list[bytes]]()
-        for who, what in came:
-            gathering.add(f"a{who}", bytes([what]))
-            by.setdefault(f"a{who}", []).append(bytes([what]))
-        known = {address: sent for address, sent in by.items() if address in gathering.knows}
-        taken = {one.address: one for one in gathering.take()}
+    def test_the_buffer_keeps_the_newest_datagrams_of_each_known_sender(
+        self, received: list[tuple[int, int]]
+    ) -> None:
+        buffer, sent_by = DatagramBuffer({"a0", "a1", "a2"}), dict[str, list[bytes]]()
+        for sender, byte in received:
+            buffer.add(f"a{sender}", bytes([byte]))
+            sent_by.setdefault(f"a{sender}", []).append(bytes([byte]))
+        known = {address: sent for address, sent in sent_by.items() if address in buffer.known_addresses}
+        taken = {datagrams.address: datagrams for datagrams in buffer.take()}
         newest = {address: sent[::-1][:MAX_PER_SENDER] for address, sent in known.items()}
         self.assertEqual({a: t.reports for a, t in taken.items()}, newest)
         self.assertTrue(
             all(t.passed_over == max(0, len(known[a]) - MAX_PER_SENDER) for a, t in taken.items())
         )
 
-    def test_a_server_back_after_hours_is_heard_again_from_its_first_report(self) -> None:
-        self.desk.report("127.0.1.0", self.word(0, 5, 0.9), SECOND)
+    def test_a_server_that_returns_after_hours_counts_from_its_first_report(self) -> None:
+        self.processor.report("127.0.1.0", self.envelope(0, 5, 0.9), SECOND)
         for second in range(2, 30):
-            self.desk.update_hints({}, second * SECOND)
+            self.processor.update_hints({}, second * SECOND)
         later = 5 * 3600 * SECOND
-        fates = [
-            self.desk.report("127.0.1.0", self.word(0, number, 0.3), later) for number in (18_000, 18_001)
+        outcomes = [
+            self.processor.report("127.0.1.0", self.envelope(0, number, 0.3), later)
+            for number in (18_000, 18_001)
         ]
-        self.assertEqual(fates, [ReportOutcome.TAKEN, ReportOutcome.TAKEN])
-        self.assertAlmostEqual(self.desk.senders["s0"].reading.value(), 0.3)
+        self.assertEqual(outcomes, [ReportOutcome.TAKEN, ReportOutcome.TAKEN])
+        self.assertAlmostEqual(self.processor.senders["s0"].reading.value(), 0.3)
 
-    def test_agent_checks_say_the_same_in_their_own_words(self) -> None:
+    def test_agent_checks_are_processed_like_reports(self) -> None:
         for second in range(1, 9):
-            self.desk.record_agent_check("s1", read_agent(b"up 30%"), second * SECOND)
-        self.assertAlmostEqual(self.desk.senders["s1"].reading.value(), 0.7)
+            self.processor.record_agent_check("s1", parse_agent_answer(b"up 30%"), second * SECOND)
+        self.assertAlmostEqual(self.processor.senders["s1"].reading.value(), 0.7)
 
-    def test_a_stream_over_its_budget_is_not_read_for_a_while(self) -> None:
-        clock, wire = Clock(), StringTransport(peerAddress=IPv4Address("TCP", "127.0.1.0", 9))
+    def test_a_stream_over_its_budget_is_paused(self) -> None:
+        clock, transport = Clock(), StringTransport(peerAddress=IPv4Address("TCP", "127.0.1.0", 9))
         clock.advance(5)
-        stream = ReportStreams(self.desk, clock).buildProtocol(None)
+        stream = ReportStreams(self.processor, clock).buildProtocol(None)
         assert stream is not None
-        stream.makeConnection(wire)
+        stream.makeConnection(transport)
         for number in range(1, 20):
-            word = self.word(0, number, 0.5)
-            stream.dataReceived(len(word).to_bytes(4, "big") + word)
-        self.assertEqual(wire.producerState, "paused")
-        clock.pump([0.25] * 20)  # what was buffered is read as its budget allows
+            report = self.envelope(0, number, 0.5)
+            stream.dataReceived(len(report).to_bytes(4, "big") + report)
+        self.assertEqual(transport.producerState, "paused")
+        clock.pump([0.25] * 20)  # the buffered reports are processed as the budget allows
         self.assertEqual(
-            (wire.producerState, self.desk.counts[ReportOutcome.TAKEN] < 19), ("producing", True)
+            (transport.producerState, self.processor.counts[ReportOutcome.TAKEN] < 19), ("producing", True)
         )
         stream.dataReceived((99_999).to_bytes(4, "big"))
-        self.assertTrue(wire.disconnected)
+        self.assertTrue(transport.disconnected)
 
 
-class HintStories(unittest.TestCase):
-    def play(
-        self, tell: dict[str, float], truth: dict[str, float], periods: int = 60
+class HintTests(unittest.TestCase):
+    def run_periods(
+        self, reported: dict[str, float], actual: dict[str, float], periods: int = 60
     ) -> tuple[Hints, dict[str, float]]:
-        """Loads as told; latencies follow the true loads."""
-        hints, mean = Hints(), sum(truth.values()) / len(truth)
+        """Runs periods with the reported loads and with latencies proportional to the actual loads."""
+        hints, mean = Hints(), sum(actual.values()) / len(actual)
         found = dict[str, float]()
         for _ in range(periods):
             found = hints.period(
-                {name: (load, 1.0) for name, load in tell.items()},
-                {name: load / mean for name, load in truth.items()},
+                {name: (load, 1.0) for name, load in reported.items()},
+                {name: load / mean for name, load in actual.items()},
             )
         return hints, found
 
-    def test_true_reports_move_weights_within_their_bound(self) -> None:
-        truth = {"a": 0.4, "b": 0.5, "c": 0.5, "d": 0.9}
-        hints, found = self.play(truth, truth)
+    def test_accurate_reports_change_weights_within_the_bounds(self) -> None:
+        actual = {"a": 0.4, "b": 0.5, "c": 0.5, "d": 0.9}
+        hints, found = self.run_periods(actual, actual)
         self.assertGreater(found["a"], 1.05)
         self.assertLess(found["d"], 0.9)
-        self.assertTrue(all(-LESS - 1e-9 <= hint - 1 <= FAR + 1e-9 for hint in found.values()))
+        self.assertTrue(
+            all(-MAX_DECREASE - 1e-9 <= hint - 1 <= MAX_INCREASE + 1e-9 for hint in found.values())
+        )
         self.assertGreater(hints.worth("d"), 0.5)
 
-    def test_a_liar_that_is_always_idle_gains_nothing(self) -> None:
-        truth = {"a": 0.5, "b": 0.5, "c": 0.5, "liar": 0.8}
-        hints, found = self.play({**truth, "liar": 0.0}, truth)
+    def test_a_server_that_always_claims_to_be_idle_gains_nothing(self) -> None:
+        actual = {"a": 0.5, "b": 0.5, "c": 0.5, "liar": 0.8}
+        hints, found = self.run_periods({**actual, "liar": 0.0}, actual)
         self.assertLess(hints.worth("liar"), 0.05)
         self.assertLess(found["liar"], 1.01)
 
-    def test_a_queue_that_shows_in_settled_txns_only_later_is_believed_at_once(self) -> None:
+    def test_a_report_of_a_queue_is_believed_before_the_queue_shows_in_settled_txns(self) -> None:
         hints, found = Hints(), dict[str, float]()
         for period in range(30):
-            full = 3.0 if period >= 10 else 0.5
-            slow = 2.5 if period >= 10 + LAG else 1.0
+            load = 3.0 if period >= 10 else 0.5
+            latency = 2.5 if period >= 10 + LAG else 1.0
             found = hints.period(
-                {"a": (0.5, 1.0), "b": (0.5, 1.0), "c": (full, 1.0)}, {"a": 0.9, "b": 0.9, "c": slow}
+                {"a": (0.5, 1.0), "b": (0.5, 1.0), "c": (load, 1.0)}, {"a": 0.9, "b": 0.9, "c": latency}
             )
             if period == 12:
-                self.assertLess(found["c"], 0.6)  # before its first slow txn settled
+                self.assertLess(found["c"], 0.6)  # before its first slow txn has settled
         self.assertLess(found["c"], 0.4)
         self.assertGreater(hints.worth("c"), 0.9)
 
-    def test_a_server_that_always_cries_that_it_is_full_is_soon_not_heard(self) -> None:
+    def test_a_server_that_always_claims_to_be_overloaded_is_soon_ignored(self) -> None:
         hints, found = Hints(), list[float]()
         for _ in range(40):
             loads = {"a": (0.5, 1.0), "b": (0.5, 1.0), "liar": (9.0, 1.0)}
@@ -413,21 +428,21 @@
         self.assertLess(min(found), 0.7)
         self.assertGreater(min(found[15:]), 0.95)
 
-    def test_reporters_that_flap_move_their_weights_no_faster_than_others(self) -> None:
+    def test_the_weight_of_a_flapping_reporter_changes_no_faster_than_others(self) -> None:
         hints, found = Hints(), list[float]()
         for period in range(60):
             loads = {"a": (0.5, 1.0), "b": (0.5, 1.0)}
             loads |= {"c": (0.5, 1.0), "flaps": (2.0, 1.0)} if period % 4 < 2 else {}
             found.append(hints.period(loads, {"a": 1.0, "b": 1.0, "c": 1.0, "flaps": 1.0}).get("flaps", 1.0))
         moves = [abs(after - before) for before, after in pairwise(found)]
-        self.assertLessEqual(max(moves), STEP + 1e-9)
-        self.assertGreaterEqual(min(found), 1 - 2 * STEP - 1e-9)
+        self.assertLessEqual(max(moves), MAX_STEP + 1e-9)
+        self.assertGreaterEqual(min(found), 1 - 2 * MAX_STEP - 1e-9)
 
-    def test_when_all_reports_stop_weights_go_back_slowly(self) -> None:
-        truth = {"a": 0.4, "b": 0.5, "c": 0.5, "d": 0.9}
-        hints, before = self.play(truth, truth)
+    def test_when_all_reports_stop_weights_return_to_neutral_slowly(self) -> None:
+        actual = {"a": 0.4, "b": 0.5, "c": 0.5, "d": 0.9}
+        hints, before = self.run_periods(actual, actual)
         after = hints.period({}, {})
-        self.assertTrue(all(abs(after.get(name, 1.0) - before[name]) <= STEP + 1e-9 for name in before))
+        self.assertTrue(all(abs(after.get(name, 1.0) - before[name]) <= MAX_STEP + 1e-9 for name in before))
         for _ in range(20):
             after = hints.period({}, {})
         self.assertEqual(set(after.values()) - {1.0}, set())
@@ -439,13 +454,15 @@
             max_size=30,
         )
     )
-    def test_whatever_is_sent_the_say_is_bounded(self, story: list[dict[str, tuple[float, float]]]) -> None:
+    def test_hints_are_bounded_whatever_is_reported(
+        self, periods: list[dict[str, tuple[float, float]]]
+    ) -> None:
         hints, before = Hints(), dict[str, float]()
-        for loads in story:
+        for loads in periods:
             found = hints.period(loads, dict.fromkeys(loads, 1.3))
             for name, hint in found.items():
-                self.assertTrue(-LESS - 1e-9 <= hint - 1.0 <= FAR + 1e-9)
-                self.assertLessEqual(abs(hint - before.get(name, 1.0)), STEP + 1e-9)
+                self.assertTrue(-MAX_DECREASE - 1e-9 <= hint - 1.0 <= MAX_INCREASE + 1e-9)
+                self.assertLessEqual(abs(hint - before.get(name, 1.0)), MAX_STEP + 1e-9)
             before = found
 
 
@@ -461,7 +478,7 @@
 
     def report(self, number: int, loads: dict[int, float]) -> None:
         for k, load in loads.items():
-            word = Envelope(
+            envelope = Envelope(
                 server=f"s{k}",
                 token=bytes([k]) * 8,
                 boot=1,
@@ -469,11 +486,11 @@
                 uptime=1000 * number,
                 report=OrcaLoadReport(application_utilization=load),
             )
-            self.managers["m0"].desk.report(f"127.0.1.{k}", word.SerializeToString(), tenths(self.clock))
+            self.managers["m0"].desk.report(f"127.0.1.{k}", envelope.SerializeToString(), tenths(self.clock))
 
 
-class SteeredByReportsStories(unittest.TestCase):
-    def test_when_all_reports_stop_weights_go_back_without_a_storm_past_the_cap(self) -> None:
+class SteeringByReportsTests(unittest.TestCase):
+    def test_when_all_reports_stop_weights_return_without_exceeding_the_write_cap(self) -> None:
         world = ReportingWorld(cap=12)
         world.run(6, rate=20)
         world.slow["s0"] = 0.45
@@ -488,7 +505,7 @@
             moves.append(abs(desk.current_hints.get("s0", 1.0) - before))
             before = desk.current_hints.get("s0", 1.0)
         self.assertEqual(before, 1.0)
-        self.assertLessEqual(max(moves), STEP + 1e-9)
+        self.assertLessEqual(max(moves), MAX_STEP + 1e-9)
         for name in world.sites:
             wrote = [
                 at
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,5 +1,4 @@
-"""Stories of the store: over any crash what was acknowledged is there, and nothing is trusted that is not
-true."""
+"""Tests of the store: after any crash everything acknowledged is there and nothing that was never written."""
 
 import contextlib
 import os
@@ -21,9 +20,9 @@
 
 from rushladder.standins.folder import Entries, Folder, Tail
 from rushladder.store.files import Disk, FolderLocked
-from rushladder.store.frames import BODY, HEAD, Damage, Record, encode_frame, decode_frames
-from rushladder.store.log import ASIDE, Log, Migrations, IncompatibleStore, file_number
-from rushladder.store.writer import FIRST_WAIT, GATHER, Writer
+from rushladder.store.frames import BODY_HEADER, FRAME_HEADER, Damage, Record, decode_frames, encode_frame
+from rushladder.store.log import MAX_SET_ASIDE, IncompatibleStore, Log, Migrations, file_number
+from rushladder.store.writer import BATCH_DELAY, MIN_RETRY_DELAY, Writer
 from rushladder.trials.crashes import explore, new_log, rot, run
 
 RECORDS = st.builds(
@@ -36,58 +35,58 @@
 )
 
 
-class FrameStories(unittest.TestCase):
+class FrameTests(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.one_of(RECORDS, st.binary(max_size=20)), max_size=12))
-    def test_records_are_read_back_whatever_stands_between_them(self, parts: list[Record | bytes]) -> None:
+    def test_records_are_decoded_whatever_is_between_them(self, parts: list[Record | bytes]) -> None:
         data = b"".join(part if isinstance(part, bytes) else encode_frame(part) for part in parts)
-        read = [part for part in decode_frames(data) if isinstance(part, Record)]
-        self.assertEqual(read, [part for part in parts if not isinstance(part, bytes)])
+        decoded = [part for part in decode_frames(data) if isinstance(part, Record)]
+        self.assertEqual(decoded, [part for part in parts if not isinstance(part, bytes)])
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(RECORDS, min_size=1, max_size=6), st.integers(0), st.integers(0, 7))
-    def test_a_turned_bit_costs_the_record_it_is_in_and_no_other(
-        self, records: list[Record], at: int, bit: int
+    def test_a_flipped_bit_loses_only_the_record_that_contains_it(
+        self, records: list[Record], offset: int, bit: int
     ) -> None:
         data = bytearray(b"".join(map(encode_frame, records)))
-        data[at % len(data)] ^= 1 << bit
+        data[offset % len(data)] ^= 1 << bit
         parts = list(decode_frames(bytes(data)))
-        read = [part for part in parts if isinstance(part, Record)]
-        self.assertEqual(len(read), len(records) - 1)
-        self.assertTrue(all(record in records for record in read))
+        decoded = [part for part in parts if isinstance(part, Record)]
+        self.assertEqual(len(decoded), len(records) - 1)
+        self.assertTrue(all(record in records for record in decoded))
         self.assertTrue(any(isinstance(part, Damage) for part in parts))
 
-    def test_a_record_too_long_to_be_read_is_not_written(self) -> None:
+    def test_a_record_too_long_for_a_reader_is_not_encoded(self) -> None:
         with self.assertRaises(ValueError):
             encode_frame(Record(1, 1, 0, "k", bytes(1 << 20)))
 
 
-class CrashStories(unittest.TestCase):
-    def test_at_every_crash_point_what_was_acknowledged_is_there_and_nothing_else(self) -> None:
+class CrashTests(unittest.TestCase):
+    def test_after_a_crash_at_any_point_exactly_the_acknowledged_state_is_there(self) -> None:
         tried = opened = 0
         for seed in (1, 2):
-            some = explore(30, seed)
-            tried, opened = tried + some[0], opened + some[1]
+            counts = explore(30, seed)
+            tried, opened = tried + counts[0], opened + counts[1]
         self.assertGreater(tried, 2000)
         self.assertGreater(opened, 3 * tried)
 
-    def test_a_bit_that_turns_later_is_noticed_and_never_trusted(self) -> None:
+    def test_a_bit_that_flips_later_is_detected_and_never_trusted(self) -> None:
         self.assertEqual(rot(25, 3, 200), (200, 200))
 
-    def test_a_snapshot_that_lost_its_end_is_not_trusted_and_its_elder_is(self) -> None:
+    def test_instead_of_a_truncated_snapshot_the_previous_one_is_used(self) -> None:
         folder = Folder()
-        told = run(folder, 40, 5)
-        snap = max(name for name in folder.names() if name.startswith("snap-"))
-        data = folder.read(snap)
-        for many in (1, HEAD.size + BODY.size + 2, len(data) // 2, len(data)):
+        acknowledged = run(folder, 40, 5)
+        snapshot = max(name for name in folder.names() if name.startswith("snap-"))
+        data = folder.read(snapshot)
+        for lost in (1, FRAME_HEADER.size + BODY_HEADER.size + 2, len(data) // 2, len(data)):
             other = folder.after_power(Tail.WHOLE, Entries.DONE, Random(1))
-            other._files[snap].data = other._files[snap].synced = data[: len(data) - many]
+            other._files[snapshot].data = other._files[snapshot].synced = data[: len(data) - lost]
             log = new_log(other)
             opened = log.open()
-            self.assertEqual(log.state, told.sure)
-            self.assertNotEqual(opened.snapshot, snap)
+            self.assertEqual(log.state, acknowledged.sure)
+            self.assertNotEqual(opened.snapshot, snapshot)
 
-    def test_a_good_tail_behind_a_corrupt_middle_is_kept_and_the_file_set_aside(self) -> None:
+    def test_intact_records_behind_a_corrupt_one_are_kept_and_the_file_is_set_aside(self) -> None:
         folder = Folder()
         log = new_log(folder)
         log.open()
@@ -97,15 +96,15 @@
         name = f"log-{log.segment:016d}"
         data = folder.read(name)
         folder._files[name].data = data.replace(encode_frame(Record(2, 1, 0, "k1", b"value")), b"x" * 30)
-        again = new_log(folder)
-        at = data.find(b"k1") - HEAD.size - BODY.size
-        self.assertEqual(again.open().damage, [f"{name}: damaged: 30 bytes at {at}: no mark"])
-        self.assertEqual(set(again.state), {(1, "k0"), (1, "k2")})
-        self.assertTrue(next(one for one in folder.names() if one.startswith("aside-")).endswith(name))
+        reopened = new_log(folder)
+        offset = data.find(b"k1") - FRAME_HEADER.size - BODY_HEADER.size
+        self.assertEqual(reopened.open().damage, [f"{name}: damaged: 30 bytes at {offset}: no magic number"])
+        self.assertEqual(set(reopened.state), {(1, "k0"), (1, "k2")})
+        self.assertTrue(next(file for file in folder.names() if file.startswith("aside-")).endswith(name))
 
-    def test_the_disk_holds_a_bounded_part_and_no_more_than_some_files_aside(self) -> None:
+    def test_the_size_of_the_store_and_the_number_of_files_set_aside_are_bounded(self) -> None:
         folder = Folder()
-        for _ in range(ASIDE + 5):
+        for _ in range(MAX_SET_ASIDE + 5):
             log = new_log(folder)
             log.open()
             for turn in range(200):
@@ -116,9 +115,9 @@
             name = f"log-{log.segment:016d}"
             folder._files[name].data = b"rubbish" + folder._files[name].data[7:]
         self.assertLess(sum(len(folder.read(name)) for name in folder.names()), 25_000)
-        self.assertEqual(len([name for name in folder.names() if name.startswith("aside-")]), ASIDE)
+        self.assertEqual(len([name for name in folder.names() if name.startswith("aside-")]), MAX_SET_ASIDE)
 
-    def test_a_foreign_folder_is_refused_and_left_as_it_is(self) -> None:
+    def test_a_folder_of_another_fleet_or_manager_is_rejected_and_left_unchanged(self) -> None:
         folder = Folder()
         run(folder, 5, 1)
         before = {name: folder.read(name) for name in folder.names()}
@@ -127,19 +126,19 @@
                 Log(folder, fleet, manager, {1: 0}).open()
         self.assertEqual({name: folder.read(name) for name in folder.names()}, before)
 
-    def test_newer_minor_versions_are_skipped_whole_and_older_ones_migrated(self) -> None:
+    def test_records_of_newer_minor_versions_are_skipped_and_older_ones_migrated(self) -> None:
         folder = Folder()
         log = Log(folder, "fleet", "m1", {1: 2, 2: 0})
         log.open()
         log.put(1, "new", b"v2")
         log.put(2, "old", b"v0")
         log.commit()
-        steps: Migrations = {(2, 0): lambda old: old + b"+1", (2, 1): lambda old: old + b"+2"}
-        back = Log(folder, "fleet", "m1", {1: 1, 2: 2}, steps)
-        self.assertEqual(back.open().skipped, 1)
-        self.assertEqual(back.state, {(2, "old"): b"v0+1+2"})
+        migrations: Migrations = {(2, 0): lambda old: old + b"+1", (2, 1): lambda old: old + b"+2"}
+        reopened = Log(folder, "fleet", "m1", {1: 1, 2: 2}, migrations)
+        self.assertEqual(reopened.open().skipped, 1)
+        self.assertEqual(reopened.state, {(2, "old"): b"v0+1+2"})
 
-    def test_a_full_or_read_only_disk_loses_nothing_that_waits(self) -> None:
+    def test_no_pending_change_is_lost_on_a_full_or_read_only_disk(self) -> None:
         folder = Folder()
         log = new_log(folder)
         log.open()
@@ -153,68 +152,68 @@
         folder.read_only = False
         log.put(1, "b", b"2")
         self.assertEqual(log.commit(), 2)
-        after = new_log(folder.after_power(Tail.LOST, Entries.LOST, Random(1)))
-        after.open()
-        self.assertEqual(after.state, {(1, "a"): b"1", (1, "b"): b"2"})
+        reopened = new_log(folder.after_power(Tail.LOST, Entries.LOST, Random(1)))
+        reopened.open()
+        self.assertEqual(reopened.state, {(1, "a"): b"1", (1, "b"): b"2"})
 
 
-class WriterStories(unittest.TestCase):
+class WriterTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.folder, self.faults = Clock(), Folder(), list[str]()
+        self.clock, self.folder, self.errors = Clock(), Folder(), list[str]()
         self.log = new_log(self.folder)
         self.log.open()
-        self.slow = list[Callable[[], None]]()
+        self.slow_writes = list[Callable[[], None]]()
 
-    def at_once(self, work: Callable[..., Any], *arguments: Any) -> Deferred[Any]:
+    def run_now(self, work: Callable[..., Any], *arguments: Any) -> Deferred[Any]:
         try:
             return succeed(work(*arguments))
-        except OSError as trouble:
-            return fail(trouble)
+        except OSError as error:
+            return fail(error)
 
-    def later(self, work: Callable[..., Any], *arguments: Any) -> Deferred[Any]:
+    def run_later(self, work: Callable[..., Any], *arguments: Any) -> Deferred[Any]:
         done: Deferred[Any] = Deferred()
-        self.slow.append(lambda: done.callback(work(*arguments)))
+        self.slow_writes.append(lambda: done.callback(work(*arguments)))
         return done
 
-    def test_an_acknowledgement_comes_once_all_before_it_survives(self) -> None:
-        writer, sure = Writer(self.log, self.clock, self.at_once, self.faults.append), list[None]()
+    def test_a_flush_fires_once_everything_before_it_is_durable(self) -> None:
+        writer, fired = Writer(self.log, self.clock, self.run_now, self.errors.append), list[None]()
         for k in range(100):
             writer.put(1, f"k{k % 10}", b"%d" % k)
-        writer.flush().addCallback(sure.append)
-        self.assertEqual((sure, self.log.synced), ([], 0))
-        self.clock.advance(GATHER)
-        self.assertEqual((sure, self.log.synced, writer.batches), ([None], 10, 1))
+        writer.flush().addCallback(fired.append)
+        self.assertEqual((fired, self.log.synced), ([], 0))
+        self.clock.advance(BATCH_DELAY)
+        self.assertEqual((fired, self.log.synced, writer.batches), ([None], 10, 1))
 
-    def test_what_waits_for_a_slow_disk_is_bounded_by_its_keys(self) -> None:
-        writer, sure = Writer(self.log, self.clock, self.later, self.faults.append), list[None]()
+    def test_the_queue_for_a_slow_disk_is_bounded_by_the_number_of_keys(self) -> None:
+        writer, fired = Writer(self.log, self.clock, self.run_later, self.errors.append), list[None]()
         writer.put(1, "first", b"1")
-        self.clock.advance(GATHER)
+        self.clock.advance(BATCH_DELAY)
         for k in range(1000):
             writer.put(1, f"k{k % 7}", b"%d" % k)
             self.clock.advance(0.01)
-        writer.flush().addCallback(sure.append)
-        self.assertEqual((len(writer), len(self.slow)), (7, 1))
-        self.slow.pop()()
-        self.assertEqual(sure, [])  # what it waits for is in the next batch
-        self.clock.advance(GATHER)
-        self.slow.pop()()
-        self.assertEqual((sure, len(self.log.state)), ([None], 8))
-
-    def test_a_disk_that_fails_is_tried_again_later_and_later_and_loses_nothing(self) -> None:
-        writer, sure = Writer(self.log, self.clock, self.at_once, self.faults.append), list[None]()
+        writer.flush().addCallback(fired.append)
+        self.assertEqual((len(writer), len(self.slow_writes)), (7, 1))
+        self.slow_writes.pop()()
+        self.assertEqual(fired, [])  # the changes that the flush covers are in the next batch
+        self.clock.advance(BATCH_DELAY)
+        self.slow_writes.pop()()
+        self.assertEqual((fired, len(self.log.state)), ([None], 8))
+
+    def test_writes_to_a_failing_disk_are_retried_with_backoff_and_nothing_is_lost(self) -> None:
+        writer, fired = Writer(self.log, self.clock, self.run_now, self.errors.append), list[None]()
         self.folder.read_only = True
         writer.put(1, "a", b"old")
-        writer.flush().addCallback(sure.append)
+        writer.flush().addCallback(fired.append)
         self.clock.pump([0.1] * 100)
-        self.assertEqual((len(self.faults), sure, writer.failing), (5, [], True))
+        self.assertEqual((len(self.errors), fired, writer.failing), (5, [], True))
         writer.put(1, "a", b"new")
         self.folder.read_only = False
-        self.clock.pump([FIRST_WAIT] * 80)
-        self.assertEqual((sure, self.log.state[1, "a"], writer.failing), ([None], b"new", False))
+        self.clock.pump([MIN_RETRY_DELAY] * 80)
+        self.assertEqual((fired, self.log.state[1, "a"], writer.failing), ([None], b"new", False))
 
-    def test_stopping_writes_what_waits_and_does_not_hang_on_a_dead_disk(self) -> None:
+    def test_stop_writes_the_queue_and_does_not_hang_on_a_failing_disk(self) -> None:
         for dead in (False, True):
-            writer, done = Writer(self.log, self.clock, self.at_once, self.faults.append), list[None]()
+            writer, done = Writer(self.log, self.clock, self.run_now, self.errors.append), list[None]()
             self.folder.read_only = dead
             writer.put(1, f"last{dead}", b"1")
             writer.stop().addCallback(done.append)
@@ -222,7 +221,7 @@
         self.assertIn((1, "lastFalse"), self.log.state)
 
 
-KILLED = """
+WRITER_PROCESS = """
 import sys
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
@@ -241,26 +240,28 @@
 """
 
 
-class DiskStories(unittest.TestCase):
+class DiskTests(unittest.TestCase):
     def setUp(self) -> None:
-        held = tempfile.TemporaryDirectory(prefix="rl")
-        self.addCleanup(held.cleanup)
-        self.folder = str(Path(held.name, "store"))
+        directory = tempfile.TemporaryDirectory(prefix="rl")
+        self.addCleanup(directory.cleanup)
+        self.folder = str(Path(directory.name, "store"))
 
-    def test_killed_in_the_middle_of_anything_it_has_what_it_said_it_has(self) -> None:
-        said, random = 0, Random(4)
+    def test_a_killed_writer_has_stored_everything_that_it_acknowledged(self) -> None:
+        acknowledged, random = 0, Random(4)
         for _ in range(8):
             child = subprocess.Popen(
-                [sys.executable, "-c", KILLED, self.folder],
+                [sys.executable, "-c", WRITER_PROCESS, self.folder],
                 cwd=Path(__file__).parent.parent,
                 stdout=subprocess.PIPE,
                 text=True,
             )
             assert child.stdout is not None
-            said = max(said, int(child.stdout.readline()))
+            acknowledged = max(acknowledged, int(child.stdout.readline()))
             time.sleep(0.05 * random.random())
             os.kill(child.pid, signal.SIGKILL)
-            said = max([said, *(int(line) for line in child.stdout.read().split("\n")[:-1] if line)])
+            acknowledged = max(
+                [acknowledged, *(int(line) for line in child.stdout.read().split("\n")[:-1] if line)]
+            )
             child.wait()
             child.stdout.close()
             disk = Disk(self.folder)
@@ -268,17 +269,17 @@
             opened = log.open()
             disk.close()
             turn = int(log.state[1, "turn"])
-            self.assertIn(turn, (said, said + 1))
+            self.assertIn(turn, (acknowledged, acknowledged + 1))
             self.assertEqual((opened.gaps, opened.skipped), (0, 0))
 
-    def test_one_writer_a_folder(self) -> None:
+    def test_a_folder_has_only_one_writer(self) -> None:
         first = Disk(self.folder)
         with self.assertRaises(FolderLocked):
             Disk(self.folder)
         first.close()
         Disk(self.folder).close()
 
-    def test_a_folder_that_is_gone_is_an_error_and_not_the_end(self) -> None:
+    def test_a_removed_folder_causes_errors_and_no_crash(self) -> None:
         disk = Disk(self.folder)
         self.addCleanup(disk.close)
         log = Log(disk, "fleet", "m1", {1: 0}, segment_bytes=200)
@@ -297,7 +298,7 @@
         self.assertGreater(failures, 30)
         self.assertEqual(log.state[1, "k"], b"39")
 
-    def test_names_that_are_not_ours_are_let_alone(self) -> None:
+    def test_files_with_other_names_have_no_number(self) -> None:
         self.assertEqual(
             [
                 file_number(name)
