--- a/rushladder/intake/datagram_buffer.py
+++ b/rushladder/intake/datagram_buffer.py
@@ -17,7 +17,7 @@
     """The datagrams kept of one sender, newest first, and the number of older ones that they displaced."""
 
     address: str
-    passed_over: int
+    displaced: int
     reports: list[bytes]
 
 
@@ -25,18 +25,18 @@
     """Holds at most MAX_PER_SENDER datagrams for each known address, whatever arrives."""
 
     def __init__(self, known_addresses: Collection[str]) -> None:
-        self.known_addresses, self.strangers = known_addresses, 0
+        self.known_addresses, self.unknown_count = known_addresses, 0
         self._kept, self._received = dict[str, deque[bytes]](), Counter[str]()
 
     def __len__(self) -> int:
         return len(self._kept)
 
     def add(self, address: str, datagram: bytes) -> None:
-        """Keeps a datagram, or counts it in `strangers` if its address is unknown."""
+        """Keeps a datagram, or counts it in `unknown_count` if its address is unknown."""
         kept = self._kept.get(address)
         if kept is None:
             if address not in self.known_addresses:
-                self.strangers += 1
+                self.unknown_count += 1
                 return
             kept = self._kept[address] = deque(maxlen=MAX_PER_SENDER)
         self._received[address] += 1
@@ -50,7 +50,7 @@
             if address in self.known_addresses:
                 yield SenderDatagrams(address, received[address] - len(kept), list(reversed(kept)))
 
-    def take_strangers(self) -> int:
+    def take_unknown_count(self) -> int:
         """Returns and resets the number of datagrams from unknown addresses."""
-        count, self.strangers = self.strangers, 0
+        count, self.unknown_count = self.unknown_count, 0
         return count
--- a/rushladder/intake/hints.py
+++ b/rushladder/intake/hints.py
@@ -75,7 +75,7 @@
         # Believes every report, for measuring what the trust is worth.
         self._blind = blind
 
-    def period(
+    def update(
         self, loads: Mapping[str, tuple[float, float]], latency: Mapping[str, float]
     ) -> dict[str, float]:
         """Computes the hints of this period: 1 is neutral, more raises a weight. Servers not in the result
--- a/rushladder/intake/limits.py
+++ b/rushladder/intake/limits.py
@@ -43,7 +43,7 @@
             0,
         )
         self.counts = dict.fromkeys(RateVerdict, 0)
-        self.heavy = HeavyHitters[str](HEAVY_COUNTERS)
+        self.heavy = HeavyHitters[str](HEAVY_COUNTERS)  # senders with the most rejected reports
 
     def admit(self, sender: str, now: int) -> RateVerdict:
         """Decides about a report of a known sender. Memory is bounded by the number of known senders."""
--- a/rushladder/intake/processor.py
+++ b/rushladder/intake/processor.py
@@ -45,9 +45,9 @@
 OUTCOMES = {
     ReadingOutcome.NEW: ReportOutcome.TAKEN,
     ReadingOutcome.LATE: ReportOutcome.LATE,
-    ReadingOutcome.REPEATED: ReportOutcome.REPEATED,
-    ReadingOutcome.OLD_LIFE: ReportOutcome.OLD_LIFE,
-    ReadingOutcome.UNREAL: ReportOutcome.UNREAL,
+    ReadingOutcome.DUPLICATE: ReportOutcome.REPEATED,
+    ReadingOutcome.OLD_INCARNATION: ReportOutcome.OLD_LIFE,
+    ReadingOutcome.INVALID: ReportOutcome.UNREAL,
 }
 
 
@@ -100,7 +100,7 @@
         """The addresses that servers report from."""
         return list(self._by_address)
 
-    def count_passed_over(self, address: str, count: int) -> None:
+    def count_displaced(self, address: str, count: int) -> None:
         """Counts reports that were displaced by newer ones of the same sender before they were read."""
         self.counts[ReportOutcome.OVER_OWN] += count
         if (sender := self._by_address.get(address)) is not None:
@@ -181,7 +181,7 @@
             for name, sender in self.senders.items()
             if (freshness := sender.reading.freshness(now)) > 0
         }
-        self.current_hints = self.hints.period(loads, latency)
+        self.current_hints = self.hints.update(loads, latency)
         return self.current_hints
 
     def distributions(self, now: int) -> tuple[QuantileSketch, QuantileSketch]:
--- a/rushladder/intake/readings.py
+++ b/rushladder/intake/readings.py
@@ -32,9 +32,9 @@
 
     NEW = "new"
     LATE = "older than the newest, still counted"
-    REPEATED = "duplicate, or too old"
-    OLD_LIFE = "from an incarnation before the server's last start"
-    UNREAL = "invalid load, or a clock that ran ahead"
+    DUPLICATE = "duplicate, or too old"
+    OLD_INCARNATION = "from an incarnation before the server's last start"
+    INVALID = "invalid load, or a clock that ran ahead"
 
 
 @attrs.define
@@ -68,23 +68,23 @@
     def add(self, boot: int, number: int, uptime: float, load: float, now: int) -> ReadingOutcome:
         """Adds a report. Only a report with a new highest number updates `last_heard`."""
         if not (math.isfinite(load) and 0.0 <= load <= 100.0) or uptime < 0:
-            return ReadingOutcome.UNREAL
+            return ReadingOutcome.INVALID
         if boot < self.boot and now - self.last_heard < GONE_AFTER:
-            return ReadingOutcome.OLD_LIFE
+            return ReadingOutcome.OLD_INCARNATION
         if boot != self.boot:
             self._start_incarnation(boot, number, uptime, now)
         ahead = number - self.newest
         if ahead > 0:
             # Compared with the first report, not the last one, so that the order of arrival doesn't matter.
             if uptime > self.first_uptime + MAX_CLOCK_RATE * (now - self.first_heard) + MAX_AHEAD:
-                return ReadingOutcome.UNREAL
+                return ReadingOutcome.INVALID
             self.seen = (self.seen << min(ahead, WINDOW)) & (2**WINDOW - 1) | 1
             self.newest, self.uptime, self.last_heard = number, max(self.uptime, uptime), now
             outcome = ReadingOutcome.NEW
         else:
             bit = 1 << -ahead
             if -ahead >= WINDOW or self.seen & bit:
-                return ReadingOutcome.REPEATED
+                return ReadingOutcome.DUPLICATE
             self.seen |= bit
             outcome = ReadingOutcome.LATE
         self._add_load(uptime, load)
--- a/rushladder/intake/receiver.py
+++ b/rushladder/intake/receiver.py
@@ -42,7 +42,7 @@
     processor.counts[ReportOutcome.STRANGER] += batch.strangers
     for sender in batch.senders:
         if sender.passed_over:
-            processor.count_passed_over(sender.address, sender.passed_over)
+            processor.count_displaced(sender.address, sender.passed_over)
         for data in sender.reports[:MAX_PER_SENDER]:
             processor.report(sender.address, data, now)
 
@@ -68,13 +68,13 @@
             self._clock.callLater(BATCH_INTERVAL, self._send_batch)
 
     def _send_batch(self) -> None:
-        if not self.buffer and not self.buffer.strangers:
+        if not self.buffer and not self.buffer.unknown_count:
             self._clock.callLater(BATCH_INTERVAL, self._send_batch)
             return
         self._requested = False
         batch = Batch(
             senders=[Sender(address=a, passed_over=p, reports=r) for a, p, r in self.buffer.take()],
-            strangers=self.buffer.take_strangers(),
+            strangers=self.buffer.take_unknown_count(),
         )
         self.sendString(batch.SerializeToString())  # type: ignore[no-untyped-call]
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -173,10 +173,10 @@
     def test_duplicates_and_earlier_incarnations_do_not_count_and_a_restart_resets_the_reading(self) -> None:
         reading = Reading()
         self.assertIs(reading.add(5, 100, 0.0, 0.9, 0), ReadingOutcome.NEW)
-        self.assertIs(reading.add(5, 100, 0.0, 0.1, 1), ReadingOutcome.REPEATED)
+        self.assertIs(reading.add(5, 100, 0.0, 0.1, 1), ReadingOutcome.DUPLICATE)
         self.assertIs(reading.add(5, 99, 0.0, 0.9, 1), ReadingOutcome.LATE)
         self.assertIs(reading.add(6, 1, 0.0, 0.2, 2), ReadingOutcome.NEW)
-        self.assertIs(reading.add(5, 101, 9.0, 0.9, 3), ReadingOutcome.OLD_LIFE)
+        self.assertIs(reading.add(5, 101, 9.0, 0.9, 3), ReadingOutcome.OLD_INCARNATION)
         self.assertEqual(reading.value(), 0.2)
         # The server's clock was set back, so its boot number is lower.
         self.assertIs(reading.add(5, 102, 9.0, 0.9, GONE_AFTER + 3), ReadingOutcome.NEW)
@@ -185,8 +185,8 @@
         reading = Reading()
         reading.add(1, 1, 0.0, 0.5, SECOND)
         for load in (math.nan, math.inf, -1.0, 1e9):
-            self.assertIs(reading.add(1, 2, 1.0, load, SECOND), ReadingOutcome.UNREAL)
-        self.assertIs(reading.add(1, 2, 3600.0 * SECOND, 0.0, 2 * SECOND), ReadingOutcome.UNREAL)
+            self.assertIs(reading.add(1, 2, 1.0, load, SECOND), ReadingOutcome.INVALID)
+        self.assertIs(reading.add(1, 2, 3600.0 * SECOND, 0.0, 2 * SECOND), ReadingOutcome.INVALID)
         self.assertEqual(reading.value(), 0.5)
 
     def test_a_stale_reading_loses_its_influence(self) -> None:
@@ -323,7 +323,7 @@
         transfer()
         transfer()
         receiver.add(self.envelope(0, 2, 0.5), "127.0.1.0")
-        self.assertEqual((len(receiver.buffer), receiver.buffer.strangers), (0, 1))
+        self.assertEqual((len(receiver.buffer), receiver.buffer.unknown_count), (0, 1))
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 9)), max_size=80))
@@ -338,9 +338,7 @@
         taken = {datagrams.address: datagrams for datagrams in buffer.take()}
         newest = {address: sent[::-1][:MAX_PER_SENDER] for address, sent in known.items()}
         self.assertEqual({a: t.reports for a, t in taken.items()}, newest)
-        self.assertTrue(
-            all(t.passed_over == max(0, len(known[a]) - MAX_PER_SENDER) for a, t in taken.items())
-        )
+        self.assertTrue(all(t.displaced == max(0, len(known[a]) - MAX_PER_SENDER) for a, t in taken.items()))
 
     def test_a_server_that_returns_after_hours_counts_from_its_first_report(self) -> None:
         self.processor.report("127.0.1.0", self.envelope(0, 5, 0.9), SECOND)
@@ -385,7 +383,7 @@
         hints, mean = Hints(), sum(actual.values()) / len(actual)
         found = dict[str, float]()
         for _ in range(periods):
-            found = hints.period(
+            found = hints.update(
                 {name: (load, 1.0) for name, load in reported.items()},
                 {name: load / mean for name, load in actual.items()},
             )
@@ -412,7 +410,7 @@
         for period in range(30):
             load = 3.0 if period >= 10 else 0.5
             latency = 2.5 if period >= 10 + LAG else 1.0
-            found = hints.period(
+            found = hints.update(
                 {"a": (0.5, 1.0), "b": (0.5, 1.0), "c": (load, 1.0)}, {"a": 0.9, "b": 0.9, "c": latency}
             )
             if period == 12:
@@ -424,7 +422,7 @@
         hints, found = Hints(), list[float]()
         for _ in range(40):
             loads = {"a": (0.5, 1.0), "b": (0.5, 1.0), "liar": (9.0, 1.0)}
-            found.append(hints.period(loads, {"a": 1.0, "b": 1.0, "liar": 0.9})["liar"])
+            found.append(hints.update(loads, {"a": 1.0, "b": 1.0, "liar": 0.9})["liar"])
         self.assertLess(min(found), 0.7)
         self.assertGreater(min(found[15:]), 0.95)
 
@@ -433,7 +431,7 @@
         for period in range(60):
             loads = {"a": (0.5, 1.0), "b": (0.5, 1.0)}
             loads |= {"c": (0.5, 1.0), "flaps": (2.0, 1.0)} if period % 4 < 2 else {}
-            found.append(hints.period(loads, {"a": 1.0, "b": 1.0, "c": 1.0, "flaps": 1.0}).get("flaps", 1.0))
+            found.append(hints.update(loads, {"a": 1.0, "b": 1.0, "c": 1.0, "flaps": 1.0}).get("flaps", 1.0))
         moves = [abs(after - before) for before, after in pairwise(found)]
         self.assertLessEqual(max(moves), MAX_STEP + 1e-9)
         self.assertGreaterEqual(min(found), 1 - 2 * MAX_STEP - 1e-9)
@@ -441,10 +439,10 @@
     def test_when_all_reports_stop_weights_return_to_neutral_slowly(self) -> None:
         actual = {"a": 0.4, "b": 0.5, "c": 0.5, "d": 0.9}
         hints, before = self.run_periods(actual, actual)
-        after = hints.period({}, {})
+        after = hints.update({}, {})
         self.assertTrue(all(abs(after.get(name, 1.0) - before[name]) <= MAX_STEP + 1e-9 for name in before))
         for _ in range(20):
-            after = hints.period({}, {})
+            after = hints.update({}, {})
         self.assertEqual(set(after.values()) - {1.0}, set())
 
     @settings(derandomize=True, deadline=None)
@@ -459,7 +457,7 @@
     ) -> None:
         hints, before = Hints(), dict[str, float]()
         for loads in periods:
-            found = hints.period(loads, dict.fromkeys(loads, 1.3))
+            found = hints.update(loads, dict.fromkeys(loads, 1.3))
             for name, hint in found.items():
                 self.assertTrue(-MAX_DECREASE - 1e-9 <= hint - 1.0 <= MAX_INCREASE + 1e-9)
                 self.assertLessEqual(abs(hint - before.get(name, 1.0)), MAX_STEP + 1e-9)
