--- a/rushladder/store/log.py
+++ b/rushladder/store/log.py
@@ -218,7 +218,7 @@
         """Raises IncompatibleStore if the file is of a later major version, another fleet or manager."""
         header = read_header(data)
         if header is None:
-            return  # the file will be set aside
+            return  # none of it is used, and the file is set aside
         if header.major > MAJOR:
             raise IncompatibleStore(
                 f"{name} has version {header.major}.{header.minor}; at most {MAJOR}.x can be read"
