--- a/rushladder/intake/receiver.py
+++ b/rushladder/intake/receiver.py
@@ -162,9 +162,7 @@
             return
         if reactor.seconds() - self._started_at >= STEADY_SECONDS:
             self._restart_delay = MIN_RESTART_DELAY
-        self._on_error(
-            f"the report receiver process ended ({reason.value}); restart in {self._restart_delay:.1f} s"
-        )
+        self._on_error(f"the lane for reports ended ({reason.value}); restart in {self._restart_delay:.1f} s")
         self._restart = reactor.callLater(self._restart_delay, self.start)
         self._restart_delay = min(MAX_RESTART_DELAY, 2 * self._restart_delay)
 
