--- a/rushladder/intake/ports.py
+++ b/rushladder/intake/ports.py
@@ -12,8 +12,8 @@
 
 from rushladder.intake.agent import MAX_ANSWER_BYTES, AgentStatus, InvalidAgentAnswer, parse_agent_answer
 from rushladder.intake.processor import MAX_REPORT_BYTES, ReportOutcome, ReportProcessor
-from rushladder.runtime.endpoint import DONE
-from rushladder.timing import Clock, tenths
+from rushladder.runtime.endpoint import CONNECTION_DONE
+from rushladder.timing import Clock, clock_tenths
 
 PAUSE = 0.2  # seconds for which a stream over its budget is not read, so that TCP slows its sender down
 
@@ -30,7 +30,7 @@
         return self.transport
 
     def stringReceived(self, string: bytes) -> None:
-        outcome = self._processor.report(self._transport().getPeer().host, string, tenths(self._clock))
+        outcome = self._processor.report(self._transport().getPeer().host, string, clock_tenths(self._clock))
         if outcome in (ReportOutcome.OVER_OWN, ReportOutcome.OVER_ALL):
             self.pauseProducing()  # type: ignore[no-untyped-call]
             self._clock.callLater(PAUSE, self._resume)
@@ -60,7 +60,7 @@
         stream = ReportStream(self._processor, self._clock)
         connection_lost = stream.connectionLost
 
-        def closed(reason: Failure = DONE) -> None:
+        def closed(reason: Failure = CONNECTION_DONE) -> None:
             self._open -= 1
             connection_lost(reason)
 
@@ -82,7 +82,7 @@
             transport: Any = self.transport
             transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self._finish()
 
     def _finish(self) -> None:
--- a/rushladder/intake/receiver.py
+++ b/rushladder/intake/receiver.py
@@ -23,8 +23,8 @@
 from rushladder.intake.datagram_buffer import MAX_PER_SENDER, DatagramBuffer
 from rushladder.intake.lane_pb2 import Batch, Sender, Turn
 from rushladder.intake.processor import MAX_REPORT_BYTES, ReportOutcome, ReportProcessor
-from rushladder.runtime.endpoint import DONE
-from rushladder.timing import Call, Clock, tenths
+from rushladder.runtime.endpoint import CONNECTION_DONE
+from rushladder.timing import Clock, DelayedCall, clock_tenths
 
 reactor: Any = _reactor
 # Seconds for which datagrams are collected into a batch. A reading gets older by it, a hundredth of the time
@@ -78,7 +78,7 @@
         )
         self.sendString(batch.SerializeToString())  # type: ignore[no-untyped-call]
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self._on_end()
 
 
@@ -110,7 +110,7 @@
         self.sendString(request.SerializeToString())  # type: ignore[no-untyped-call]
 
     def stringReceived(self, string: bytes) -> None:
-        process_batch(self._processor, Batch.FromString(string), tenths(self._clock))
+        process_batch(self._processor, Batch.FromString(string), clock_tenths(self._clock))
         self.request_batch()
 
 
@@ -123,7 +123,7 @@
         self._processor, self._socket, self._on_error = processor, bound, on_error
         self._restart_delay, self._started_at, self._stopped = MIN_RESTART_DELAY, 0.0, False
         self._pipe: ManagerSide | None = None
-        self._restart: Call | None = None
+        self._restart: DelayedCall | None = None
         self.pid = self.starts = 0
 
     def start(self) -> None:
--- a/rushladder/service/remembering.py
+++ b/rushladder/service/persistence.py
@@ -11,10 +11,10 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.core.roster import Roster
-from rushladder.guard.history import Refused, Version
-from rushladder.guard.warden import Warden
+from rushladder.guard.history import RefusedChange, Version
+from rushladder.guard.table_guard import TableGuard
 from rushladder.intake.processor import ReportProcessor
-from rushladder.interface import Learned, Product, Remembered
+from rushladder.interface import LearnedState, LearnedWorker, Product
 from rushladder.store.commands import Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
@@ -46,7 +46,7 @@
 DEMAND_EVERY = 5  # periods between two records of demand: it is worth half after ten minutes
 
 
-class Remembering:
+class Persistence:
     """One manager's memory. wall: seconds; the clock is the manager's own."""
 
     def __init__(self, log: Log, writer: Writer, clock: Clock, wall: Callable[[], float]) -> None:
@@ -89,16 +89,16 @@
         memory = parse_record(GatewayMemory, payload) if payload is not None else None
         return memory.epoch + EPOCH_MARGIN if memory is not None else 0
 
-    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
+    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> LearnedState[Any]:
         """For the module. now: the manager's clock in tenths of a millisecond."""
         wall = self.now()
         standings = self._standings(roster, now)
         self.signs = self.notebook.count_by_validity(standings, wall)
-        workers = list[Learned[Any]]()
+        workers = list[LearnedWorker[Any]]()
         for known in self.notebook.recall(standings, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
             workers.append(
-                Learned(
+                LearnedWorker(
                     roster.listed[known.name].server,
                     known.pace,
                     known.factor,
@@ -112,11 +112,11 @@
         for _, memory in self._all(Kind.DEMAND, DemandMemory):
             demand = recall_demand(memory, products, wall)
         if demand is None:
-            return Remembered(workers, 0.0)
+            return LearnedState(workers, 0.0)
         mix = {products[name]: part for name, part in demand.mix.items()}
-        return Remembered(workers, PER_MS * demand.quiet, mix)
+        return LearnedState(workers, PER_MS * demand.quiet, mix)
 
-    def restore_guard(self, warden: Warden, now: int) -> None:
+    def restore_guard(self, table_guard: TableGuard, now: int) -> None:
         """Versions of the operators' factors, what was refused, and a wave under way taken back."""
         wall = self.now()
         versions, stands = list[Version](), 0
@@ -128,11 +128,11 @@
             if memory.stands:
                 stands = memory.parent if memory.waving else memory.number
         refused = [
-            Refused(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
+            RefusedChange(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
             for _, memory in sorted(self._all(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at)
         ]
-        warden.history.restore(versions, stands, refused)
-        self._refused = warden.history.refusals
+        table_guard.history.restore(versions, stands, refused)
+        self._refused = table_guard.history.refusal_count
 
     def restore_trust(self, desk: ReportProcessor) -> None:
         wall = self.now()
@@ -162,9 +162,9 @@
                 del self._starts[name]
             self._put(Kind.LIST, "list", ListMemory(at=self.now(), text=roster.dump(now)))
 
-    def guard(self, warden: Warden) -> None:
-        history, wave = warden.history, warden.wave
-        waving = wave.number if wave is not None and not wave.over else -1
+    def guard(self, table_guard: TableGuard) -> None:
+        history, wave = table_guard.history, table_guard.wave
+        waving = wave.number if wave is not None and not wave.finished else -1
         seen = dict[int, tuple[str, bool, bool]]()
         for version in history.all():
             if not version.number:
@@ -182,7 +182,12 @@
             self._put(Kind.REFUSED, str(self._refused % 200), memory)
 
     def period(
-        self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: ReportProcessor, now: int
+        self,
+        learned: LearnedState[Any],
+        roster: Roster,
+        table_guard: TableGuard,
+        desk: ReportProcessor,
+        now: int,
     ) -> None:
         """Once a period: what has moved enough to be worth a record."""
         wall = self.now()
@@ -191,11 +196,11 @@
                 one.worker.name,
                 one.worker.zone,
                 one.worker.model,
-                one.pace,
+                one.speed,
                 one.factor,
-                one.heard,
-                one.out_for // PER_MS,
-                wall + (one.out_until - now) // PER_MS if one.out_until else 0,
+                one.report_count,
+                one.exclusion_time // PER_MS,
+                wall + (one.excluded_until - now) // PER_MS if one.excluded_until else 0,
             )
             for one in learned.workers
         ]
@@ -204,11 +209,11 @@
         for name in self.notebook.forget(set(self.notebook.names()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
         self._periods += 1
-        if self._periods % DEMAND_EVERY == 0 and learned.quiet:
+        if self._periods % DEMAND_EVERY == 0 and learned.calm_latency:
             mix = {product.name: part for product, part in learned.mix.items()}
-            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.quiet / PER_MS, mix=mix))
+            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.calm_latency / PER_MS, mix=mix))
             self._trust(desk, wall)
-        self.guard(warden)
+        self.guard(table_guard)
         self.listing(roster, now)
         for name in self.journal.expire(wall):
             self.writer.put(Kind.COMMAND, name, None)
--- a/rushladder/store/writer.py
+++ b/rushladder/store/writer.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.store.log import MAX_KEYS, Key, Log
-from rushladder.timing import Call, Clock
+from rushladder.timing import Clock, DelayedCall
 
 # Seconds for which changes are collected into a batch: at most twenty syncs a second, and an acknowledgement
 # is delayed by at most one such interval.
@@ -35,7 +35,7 @@
         self._queued = dict[Key, bytes | None]()
         self._flushes, self._flushes_in_batch = list[Deferred[None]](), list[Deferred[None]]()
         self._writing, self._retry_delay = False, 0.0  # the delay is 0 unless the last write failed
-        self._next_write: Call | None = None
+        self._next_write: DelayedCall | None = None
         self._stops = list[Deferred[None]]()
         self._stopping = False
         self.batches, self.records, self.refused, self.last = 0, 0, 0, 0.0
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -17,8 +17,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushladder.conf.grammar import Faulty
-from rushladder.conf.reader import read
+from rushladder.conf.grammar import InvalidConfig
+from rushladder.conf.reader import parse_config
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.askers import Askers
 from rushladder.dnsfront.front import Front
@@ -28,7 +28,7 @@
 from rushladder.dnsfront.split import TWICE, Share, Split
 from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 from tests.test_paths import ctl
-from tests.world import Prober, World
+from tests.fake_cluster import FakeCluster, FakeProber
 
 SECOND = 10_000
 weights = st.dictionaries(st.integers(0, 30), st.floats(0.01, 100), min_size=1, max_size=20)
@@ -260,11 +260,11 @@
 """
 
 
-class DnsWorld(World):
-    def plan(self, name: str) -> str:
+class DnsWorld(FakeCluster):
+    def config_text(self, name: str) -> str:
         text = (
             super()
-            .plan(name)
+            .config_text(name)
             .replace("region a\nregion b\n", "region a\nregion b\n    clients 10.2.0.0/16\n")
         )
         return text + DNS
@@ -435,7 +435,7 @@
 
     def test_an_answer_by_tcp_is_the_one_that_was_truncated(self) -> None:
         first = self.world.named("_ask._tcp.a.svc.example", kind="SRV")
-        self.world.managers["m0"].core.warden.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
+        self.world.managers["m0"].core.table_guard.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
         self.assertEqual(self.world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True), first)
 
     def test_a_server_told_to_drain_is_in_no_further_answer(self) -> None:
@@ -491,7 +491,7 @@
 
     def test_across_a_cut_each_manager_names_whom_it_reaches_and_all_again_after_it(self) -> None:
         world = DnsWorld(gateways=2, managers=2)
-        here, there = Prober(), Prober()
+        here, there = FakeProber(), FakeProber()
         world.managers["m0"]._prober, world.managers["m1"]._prober = here, there
         world.run(8, rate=10)
 
@@ -515,12 +515,12 @@
                 found |= some
             return found
 
-        here.sick |= {"127.0.0.1:7001", "127.0.0.1:7003"}  # the far region's, as either sees it
-        there.sick |= {"127.0.0.1:7000", "127.0.0.1:7002"}
+        here.failing |= {"127.0.0.1:7001", "127.0.0.1:7003"}  # the far region's, as either sees it
+        there.failing |= {"127.0.0.1:7000", "127.0.0.1:7002"}
         live(14)
         self.assertEqual((named("m0"), named("m1")), ({0, 2}, {1, 3}))
-        here.sick.clear()
-        there.sick.clear()
+        here.failing.clear()
+        there.failing.clear()
         live(40)
         self.assertTrue(named("m0") & {1, 3})
 
@@ -533,7 +533,7 @@
             world.run(0.13)
         seat = world.front().seats[0].gateway
         product = world.managers["m0"].core.products[0]
-        many, covers = seat.came[product].total(int(world.clock.seconds() * SECOND), 4)
+        many, covers = seat.arrivals[product].total(int(world.clock.seconds() * SECOND), 4)
         # Five resolvers, each asking 0.08 s after its answer ran out: some 12 txns a second each.
         self.assertTrue(30 < SECOND * many / covers < 300, SECOND * many / covers)
 
@@ -621,15 +621,15 @@
 
 class ZoneFaultStories(unittest.TestCase):
     def test_names_that_can_not_stand_in_a_zone_are_told_with_their_line(self) -> None:
-        text = DnsWorld().plan("m0")
+        text = DnsWorld().config_text("m0")
         for old, new, what in (
             ("product ask", "product _ask", "no DNS label"),
             ("region b", "region servers", "a name of the zone's own"),
             ("ns ns1.svc.example=127.0.0.1", "ns ns1", "NAME=ADDRESS"),
             ("clients 10.2.0.0/16", "clients 10.2.0.1/16", "no network"),
         ):
-            with self.assertRaises(Faulty) as raised:
-                read(text.replace(old, new), "f")
+            with self.assertRaises(InvalidConfig) as raised:
+                parse_config(text.replace(old, new), "f")
             self.assertIn(what, str(raised.exception))
 
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -27,8 +27,8 @@
 from rushladder.structures.heavy_hitters import HeavyHitters
 from rushladder.structures.quantiles import QuantileSketch
 from rushladder.structures.timing_wheel import TimingWheel
-from rushladder.timing import tenths
-from tests.world import World
+from rushladder.timing import clock_tenths
+from tests.fake_cluster import FakeCluster
 
 SECOND = 10_000
 
@@ -464,10 +464,10 @@
             before = found
 
 
-class ReportingWorld(World):
-    def plan(self, name: str) -> str:
+class ReportingWorld(FakeCluster):
+    def config_text(self, name: str) -> str:
         lines = list[str]()
-        for line in super().plan(name).splitlines():
+        for line in super().config_text(name).splitlines():
             lines.append(line)
             if line.startswith("collector s"):
                 k = int(line.removeprefix("collector s"))
@@ -484,14 +484,16 @@
                 uptime=1000 * number,
                 report=OrcaLoadReport(application_utilization=load),
             )
-            self.managers["m0"].desk.report(f"127.0.1.{k}", envelope.SerializeToString(), tenths(self.clock))
+            self.managers["m0"].desk.report(
+                f"127.0.1.{k}", envelope.SerializeToString(), clock_tenths(self.clock)
+            )
 
 
 class SteeringByReportsTests(unittest.TestCase):
     def test_when_all_reports_stop_weights_return_without_exceeding_the_write_cap(self) -> None:
         world = ReportingWorld(cap=12)
         world.run(6, rate=20)
-        world.slow["s0"] = 0.45
+        world.service_time["s0"] = 0.45
         for number in range(1, 26):
             world.report(number, {0: 1.5, 1: 0.5, 2: 0.5, 3: 0.5})
             world.run(1, rate=20)
@@ -511,7 +513,7 @@
                 if site == name and at >= stopped and words[:3] == ("set", "var", "proc.rushladder_wrote")
             ]
             self.assertLessEqual(max((sum(a <= b < a + 10 for b in wrote) for a in wrote), default=0), 12)
-            self.assertGreaterEqual(len(world.usable(name, "pay")), 2)
+            self.assertGreaterEqual(len(world.usable_weights(name, "pay")), 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 
 from rushladder.conf.grammar import Address
-from rushladder.conf.objects import PeerSite
+from rushladder.conf.objects import PeerConfig
 from rushladder.peers.inbox import AGAIN, Inbox, Verdict
 from rushladder.peers.link import MARK, PeerLink
 from rushladder.peers.word_pb2 import Word
@@ -31,7 +31,7 @@
         self.a.transport = self.net  # type: ignore[assignment]
 
     def link(self, name: str, other: str) -> PeerLink:
-        site = PeerSite(other, int(other[1]), Address(host="127.0.0.1", port=1))
+        site = PeerConfig(other, int(other[1]), Address(host="127.0.0.1", port=1))
         return PeerLink(
             name,
             5,
@@ -43,7 +43,7 @@
 
     def test_words_count_once_and_in_order(self) -> None:
         for word in (b"one", b"two", b"three"):
-            self.a.tell(word)
+            self.a.send(word)
         first, second, third = self.net.sent
         for datagram in (first, third, second, third, first):
             self.b.datagramReceived(datagram, ("127.0.0.1", 1))
@@ -61,7 +61,7 @@
         for datagram in (b"", b"\xff" * 40, stranger, b"x" * 3000):
             self.b.datagramReceived(datagram, ("127.0.0.1", 1))
         self.assertEqual((self.heard, len(self.faults)), ([], 4))
-        self.a.tell(b"x" * 2000)
+        self.a.send(b"x" * 2000)
         self.assertEqual(self.net.sent, [])
 
     @settings(derandomize=True, deadline=None)
