--- a/rushladder/intake/hints.py
+++ b/rushladder/intake/hints.py
@@ -28,14 +28,14 @@
 MAX_STEP = 0.2
 LEARNING_RATE = 0.2  # per period, of the sums behind the worth: about five periods count
 CLAIM_LEARNING_RATE = 0.35  # per period, of the share of false claims: about three periods count
-# Initial value of the sums of squares (of logarithms). Differences of a seventh are noise and prove nothing.
+# Initial value of the sums of squares of logarithms, and noise floor added to each square: differences of a
+# seventh (the root of it) are noise and prove nothing.
 PRIOR = 0.02
 # Periods between a load and the latency that it causes: half of the window of the latency measurement, plus
 # the delay of the reports.
 LAG = 3
-CLAIM_THRESHOLD = (
-    0.3  # logarithm of the ratio to the median load; a third more counts as a claim to be loaded
-)
+# Logarithm of the ratio to the median load: a third more counts as a claim to be loaded.
+CLAIM_THRESHOLD = 0.3
 UNKNOWN_CLAIM_TRUST = 1.0  # how far such a claim is believed while nothing is known about the server
 MIN_SERVERS = 3  # with fewer fresh readings there is nothing to compare a load with
 MIN_LOAD = 0.05  # lower loads are raised to it, so that almost idle servers don't differ tenfold
