--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -62,7 +62,7 @@
 
 
 class CrashTests(unittest.TestCase):
-    def test_after_a_crash_at_any_point_exactly_the_acknowledged_state_is_there(self) -> None:
+    def test_after_a_crash_at_any_point_the_acknowledged_state_is_there_and_nothing_unwritten(self) -> None:
         tried = opened = 0
         for seed in (1, 2):
             counts = explore(30, seed)
