--- a/rushladder/benchlink/hosting.py
+++ b/rushladder/benchlink/hosting.py
@@ -9,7 +9,12 @@
 
 from rushladder.benchlink.wire import ENTRY, WireError, message, read_fields, read_message
 from rushladder.brain import Manager
-from rushladder.conf.birth import PER_TENTH, Unfit, birth, tenths
+from rushladder.conf.startup_settings import (
+    MICROS_PER_TENTH,
+    SettingsError,
+    manager_arguments,
+    micros_to_tenths,
+)
 from rushladder.core.workers import Workers
 from rushladder.interface import (
     Applied,
@@ -53,8 +58,8 @@
         self._gateways: dict[int, Gateway] = {}
         self._numbers: dict[Proxy, int] = {}
         try:
-            described = birth(boot)
-        except Unfit as trouble:
+            described = manager_arguments(boot)
+        except SettingsError as trouble:
             raise WireError(f"NewInstance: boot_info {trouble}") from None
         self._products: dict[str, Product] = {product.name: product for product in described["products"]}
         self._places = {product: place for place, product in enumerate(described["products"])}
@@ -96,7 +101,7 @@
             raw["cluster"],
             _member(Availability, raw["availability"], "availability"),
             raw["size"],
-            tenths(raw["started_at"]),
+            micros_to_tenths(raw["started_at"]),
         )
 
     def _reminder(self, got: dict[str, Any], _: Pages) -> Event:
@@ -110,7 +115,7 @@
             Probed(
                 server,
                 _member(ProbeResult, got["disposition"], "disposition"),
-                tenths(got["elapsed"]),
+                micros_to_tenths(got["elapsed"]),
                 got["report"],
             )
             if server
@@ -141,8 +146,8 @@
                 got["dc"],
                 got["many"],
                 got["failed"],
-                tenths(got["covers"]),
-                tenths(got["elapsed"]),
+                micros_to_tenths(got["covers"]),
+                micros_to_tenths(got["elapsed"]),
                 got["report"],
             )
             if server
@@ -152,12 +157,14 @@
     def _arrivals(self, got: dict[str, Any], _: Pages) -> Event | None:
         gateway, product = self._gateways.get(got["proxy"]), self._product(got["band"])
         return (
-            Arrivals(gateway, product, got["many"], got["failed"], tenths(got["covers"])) if gateway else None
+            Arrivals(gateway, product, got["many"], got["failed"], micros_to_tenths(got["covers"]))
+            if gateway
+            else None
         )
 
     def _applied(self, got: dict[str, Any], _: Pages) -> Event | None:
         gateway = self._gateways.get(got["proxy"])
-        return Applied(gateway, got["version"], tenths(got["elapsed"])) if gateway else None
+        return Applied(gateway, got["version"], micros_to_tenths(got["elapsed"])) if gateway else None
 
     def _slice_given(self, got: dict[str, Any], _: Pages) -> Event:
         return SliceGiven(got["map_id"], got["yes"])
@@ -168,7 +175,11 @@
 
     def _slice_arrivals(self, got: dict[str, Any], _: Pages) -> Event:
         return SliceArrivals(
-            got["map_id"], self._product(got["band"]), got["many"], got["failed"], tenths(got["covers"])
+            got["map_id"],
+            self._product(got["band"]),
+            got["many"],
+            got["failed"],
+            micros_to_tenths(got["covers"]),
         )
 
     # What goes out: the module's `Host`.
@@ -224,7 +235,7 @@
         self._order("QueryAll")
 
     def wake(self, after: int, token: int) -> None:
-        self._order("Defer", wait=after * PER_TENTH, handle=token)
+        self._order("Defer", wait=after * MICROS_PER_TENTH, handle=token)
 
     def log(self, words: str) -> None:
         self._order("Emit", words=words)
@@ -283,9 +294,9 @@
         if name == "Mark":
             if self._round is not None:
                 raise WireError("Mark inside a batch")
-            if fields["sim_time"] < 0 or tenths(fields["sim_time"]) < self._now:
+            if fields["sim_time"] < 0 or micros_to_tenths(fields["sim_time"]) < self._now:
                 raise WireError("Mark: the clock ran backwards")
-            self._round, self._now = fields["round"], tenths(fields["sim_time"])
+            self._round, self._now = fields["round"], micros_to_tenths(fields["sim_time"])
         elif self._round is None:
             raise WireError(f"{name} outside a batch")
         elif name == "End":
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -33,7 +33,7 @@
         self._heard, self._fault, self._number = heard, fault, 0
         self.inbox = Inbox(peers.keys())
 
-    def tell(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self._number += 1
         datagram = Word(
             mark=MARK, manager=self._manager, boot=self._boot, number=self._number, data=data
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -49,7 +49,7 @@
 class Words(Protocol):
     """Sends the module's words to the other managers."""
 
-    def tell(self, data: bytes) -> None: ...
+    def send(self, data: bytes) -> None: ...
 
 
 class Reading(Protocol):
@@ -210,7 +210,7 @@
         words, self.core.words = self.core.words, []
         for data in words:
             for sender in self.words:
-                sender.tell(data)
+                sender.send(data)
         for port in self.core.take_ready():
             self._by_gateway[port.gateway].kick()
         wake = self.core.next_wake()
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -10,7 +10,7 @@
 from twisted.internet import endpoints, reactor as _reactor, threads
 from twisted.internet.defer import Deferred
 
-from rushladder.catalog.client import CONNECT_MOST
+from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS
 from rushladder.conf.grammar import Address
 from rushladder.conf.objects import GatewaySite, Plan
 from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
@@ -22,7 +22,7 @@
 from rushladder.peers.link import PeerLink
 from rushladder.runtime.endpoint import RuntimeClient, RuntimeFactory
 from rushladder.service.api import verbs
-from rushladder.service.exchange import HealthProber
+from rushladder.service.probing import HealthProber
 from rushladder.service.logs import make_log
 from rushladder.service.manager import Manager
 from rushladder.service.remembering import Remembering
@@ -117,7 +117,7 @@
             plan,
             reactor,
             dial,
-            HealthProber(reactor, HEALTH_PATH, CONNECT_MOST) if plan.may_probe else None,
+            HealthProber(reactor, HEALTH_PATH, CONNECT_TIMEOUT_SECONDS) if plan.may_probe else None,
             log,
             restored,
             away,
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -30,7 +30,7 @@
 
     def send(self, message: bytes) -> None: ...
 
-    def drop(self) -> None: ...
+    def abort(self) -> None: ...
 
 
 class Tbl:
@@ -47,7 +47,7 @@
     def __init__(self, gateway: Gateway, stream: Stream) -> None:
         self.gateway, self.stream, self.paused = gateway, stream, False
         self.bound = dict[Product, Tbl]()
-        self.marks = dict[int, None]()  # written and not yet answered
+        self.unanswered_marks = dict[int, None]()  # written and not yet answered
         self.settle()
 
     def settle(self) -> None:
@@ -63,7 +63,7 @@
 class StreamHost:
     """One manager's module without its sockets. Times are the caller's clock in tenths of a millisecond.
 
-    described: the module's keyword arguments (`conf.birth`); probe, tell: carry out these orders.
+    described: the module's keyword arguments (`conf.startup_settings`); probe, tell: carry out these orders.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         # Kept no longer than the module, a table or the list holds the server.
         self._withdrawn, self._released = WeakSet[Server](), WeakSet[Server]()
         self._all: dict[Product, tuple[float, Retry]] = {}
-        self.ports, self._touched = dict[int, Port](), dict[Port, None]()
+        self.joined_proxies, self._touched = dict[int, Port](), dict[Port, None]()
         self._gateways = dict[int, Gateway]()
         self._probes, self._words = list[Server](), list[tuple[int | None, bytes]]()
         self.lines = self.messages = 0  # written, as the protocol counts them
@@ -94,7 +94,7 @@
 
     # What comes in.
 
-    def take(self, now: int, events: Collection[Event] = ()) -> None:
+    def process_batch(self, now: int, events: Collection[Event] = ()) -> None:
         """One batch: whatever reminders are due, then the events; and what was ordered goes out.
 
         A fault of the module in one event must not lose the others, a joining or a drain among them: it is
@@ -138,23 +138,23 @@
         events, gateway = list[Event](), self._gateways.get(number)
         if (older := self._unbind(number)) is not None:
             events.append(Left(older.gateway))
-            older.stream.drop()
+            older.stream.abort()
         if gateway is None or gateway.zone != zone:
             gateway = self._gateways[number] = Gateway(str(number), zone, weight)
         gateway.usual_rate = weight
-        self.ports[number] = Port(gateway, stream)
+        self.joined_proxies[number] = Port(gateway, stream)
         return [*events, Joined(gateway, fresh, keeps=not fresh)]
 
     def leave(self, number: int, stream: Stream) -> Left[Gateway] | None:
         """The stream has ended: the event for the next batch, if it was still the proxy's."""
-        port = self.ports.get(number)
+        port = self.joined_proxies.get(number)
         if port is None or port.stream is not stream:
             return None
         self._unbind(number)
         return Left(port.gateway)
 
     def _unbind(self, number: int) -> Port | None:
-        port = self.ports.pop(number, None)
+        port = self.joined_proxies.pop(number, None)
         if port is not None:
             self._touched.pop(port, None)
             self._held.pop(port, None)
@@ -170,7 +170,7 @@
             return
         message = self._message(port)
         if port.mark is not None:
-            port.marks[port.mark] = None
+            port.unanswered_marks[port.mark] = None
         port.settle()
         if message:
             self.messages += 1
@@ -261,13 +261,13 @@
             return (either[0], int(either[1])) if either else None
         return min(own[0], every[0]), int(own[1])
 
-    def answered(self, port: Port, mark: int) -> bool:
+    def acknowledge(self, port: Port, mark: int) -> bool:
         """Whether the mark was written to this stream and not yet answered."""
-        if mark not in port.marks:
+        if mark not in port.unanswered_marks:
             return False
-        while next(iter(port.marks)) != mark:
-            del port.marks[next(iter(port.marks))]
-        del port.marks[mark]
+        while next(iter(port.unanswered_marks)) != mark:
+            del port.unanswered_marks[next(iter(port.unanswered_marks))]
+        del port.unanswered_marks[mark]
         return True
 
     # The module's `Host`.
@@ -304,7 +304,7 @@
             port.rebind[table] = None
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
-        port, table = self.ports.get(int(proxy.name)), self._table(tbl)
+        port, table = self.joined_proxies.get(int(proxy.name)), self._table(tbl)
         if port is None or port.gateway is not proxy:
             return
         self._touched[port] = None
@@ -331,7 +331,7 @@
                 port.heed[worker] = None
 
     def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
-        port = self.ports.get(int(proxy.name))
+        port = self.joined_proxies.get(int(proxy.name))
         if port is not None and port.gateway is proxy:
             self._touched[port] = None
             for worker in workers:
@@ -350,7 +350,7 @@
                     port.gates.setdefault(table, {})[product] = None
 
     def checkpoint(self, number: int, everyone: bool) -> None:
-        for port in self.ports.values() if everyone else self._touched:
+        for port in self.joined_proxies.values() if everyone else self._touched:
             self._touched[port] = None
             port.mark = number % MARKS
 
