--- a/rushladder/catalog/__init__.py
+++ b/rushladder/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's list of workers: read whole or by a watch on its changes."""
+"""Discovery's list of workers: read as a whole list or as a stream of changes (watch)."""
--- a/rushladder/catalog/client.py
+++ b/rushladder/catalog/client.py
@@ -1,4 +1,4 @@
-"""An HTTP client for numeric addresses: what the watch of discovery asks with."""
+"""An HTTP client for numeric addresses, used for the watch of discovery."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-CONNECT_TIMEOUT_SECONDS = 0.3  # s for a connection: a hundred times the way between regions
+CONNECT_TIMEOUT_SECONDS = 0.3  # a hundred times the latency between regions
 
 
 @implementer(IAgentEndpointFactory)
-class Numeric:
-    """Endpoints for addresses that are numbers already: no resolver, and none of its threads."""
+class NumericEndpointFactory:
+    """Creates endpoints for numeric addresses without a resolver and its threads."""
 
-    def __init__(self, reactor: Any, within: float) -> None:
-        self._reactor, self._within = reactor, within
+    def __init__(self, reactor: Any, connect_timeout: float) -> None:
+        self._reactor, self._connect_timeout = reactor, connect_timeout
 
     def endpointForURI(self, uri: Any) -> Any:
-        return endpoints.TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, timeout=self._within)
+        return endpoints.TCP4ClientEndpoint(
+            self._reactor, uri.host.decode(), uri.port, timeout=self._connect_timeout
+        )
 
 
-def numeric_agent(reactor: Any, within: float) -> Any:
-    """An HTTP client for numeric addresses, whose connections take at most `within` seconds."""
-    return Agent.usingEndpointFactory(reactor, Numeric(reactor, within))
+def numeric_agent(reactor: Any, connect_timeout: float) -> Any:
+    """An HTTP client for numeric addresses. connect_timeout: seconds."""
+    return Agent.usingEndpointFactory(reactor, NumericEndpointFactory(reactor, connect_timeout))
--- a/rushladder/catalog/reader.py
+++ b/rushladder/catalog/reader.py
@@ -1,8 +1,7 @@
-"""Discovery's answers to listings for the module. Free of I/O.
+"""Turns discovery's answers into listings for the decision module. No I/O.
 
-Nothing that was known is forgotten for an answer that is broken, older or repeated: versions never go
-backwards, a full answer replaces, changes amend, and an entry that can't be read leaves its worker as it
-stood.
+An answer that is malformed, outdated or repeated removes nothing that is known: versions never go backwards,
+a full answer replaces the list, changes update it, and a malformed entry leaves its worker unchanged.
 """
 
 from __future__ import annotations
@@ -19,9 +18,9 @@
 from rushladder.records import Server
 
 STATES = {"ready": Availability.READY, "draining": Availability.DRAINING, "gone": Availability.GONE}
-MOST = 10_000  # workers: ten times the largest deployment wished for
-# What each field has to be. Text that goes out again in orders must not hold their separators.
-FIELDS: Mapping[str, Callable[[Any], bool]] = {
+MAX_WORKERS = 10_000  # ten times the largest deployment that is planned for
+# The check of each field. An id is sent in orders, so it must not contain their separators.
+FIELD_CHECKS: Mapping[str, Callable[[Any], bool]] = {
     "id": lambda value: (
         isinstance(value, str)
         and value.isascii()
@@ -40,13 +39,13 @@
 DEFAULTS: Mapping[str, Any] = {"cell": 0, "weight": 1.0, "started_ms": 0}
 
 
-class Faulty(ValueError):
-    """An answer that says nothing sure."""
+class AnswerError(ValueError):
+    """An answer that can't be used."""
 
 
 @attrs.define(eq=False)
-class Known:
-    """One worker on the list: the module's entry, where it answers, and its start in Unix milliseconds."""
+class KnownWorker:
+    """One worker on the list: the module's entry, its address, and its start in Unix milliseconds."""
 
     entry: Entry[Server]
     address: str
@@ -54,86 +53,94 @@
 
 
 class Catalog:
-    """The list as last told. place: a Unix time in milliseconds on the module's clock, in tenths of one."""
+    """The list of workers as last received.
+
+    to_module_time: converts a Unix time in milliseconds to the module's clock, in tenths of a millisecond.
+    warn: takes the kind and the text of a warning.
+    """
 
     def __init__(
-        self, workers: Workers, place: Callable[[float], int], note: Callable[[str, str], None]
+        self, workers: Workers, to_module_time: Callable[[float], int], warn: Callable[[str, str], None]
     ) -> None:
-        self._workers, self._place, self._note = workers, place, note
-        self.version, self.known, self.began = 0, dict[str, Known](), False
+        self._workers, self._to_module_time, self._warn = workers, to_module_time, warn
+        self.version, self.known, self._has_list = 0, dict[str, KnownWorker](), False
 
-    def life(self, server: Server) -> tuple[str, float] | None:
-        """Where the worker answers, and since which start; None if it is not listed."""
+    def incarnation(self, server: Server) -> tuple[str, float] | None:
+        """The worker's address and start time, which identify its process; None if it is not listed."""
         known = self.known.get(server.name)
         return (known.address, known.started_ms) if known is not None else None
 
     def read_line(self, line: bytes) -> Listing[Server] | None:
-        """One line of a watch, or a whole answer; None if it is empty or tells nothing new. Raises Faulty."""
+        """Applies one line of a watch, or a whole answer; None if it is empty or brings nothing new. Raises
+        AnswerError."""
         if not line.strip():
             return None
         try:
             raw = json.loads(line)
         except (ValueError, RecursionError):
-            raise Faulty("not JSON") from None
-        return self.told(raw)
+            raise AnswerError("the answer should be JSON") from None
+        return self.update(raw)
 
-    def told(self, raw: Any, cached: bool = False) -> Listing[Server] | None:
-        """A decoded answer. cached: the list as it was before the start. Raises Faulty."""
+    def update(self, raw: Any, cached: bool = False) -> Listing[Server] | None:
+        """Applies a decoded answer; None if it brings nothing new. cached: it is the list from before the
+        start. Raises AnswerError."""
         if not isinstance(raw, dict) or not isinstance(raw.get("servers"), list):
-            raise Faulty("no list of servers")
+            raise AnswerError("servers should be a list")
         version, full = raw.get("version"), raw.get("full", False)
         if isinstance(version, bool) or not isinstance(version, int) or not isinstance(full, bool):
-            raise Faulty("no version")
-        if version < self.version and self.began:
-            self._note("list.older", "an answer older than the list")
+            raise AnswerError("version should be a whole number, and full true or false")
+        if version < self.version and self._has_list:
+            self._warn("list.older", "the answer is older than the known list")
             return None
-        if len(raw["servers"]) > MOST:
-            raise Faulty(f"over {MOST} servers")
+        if len(raw["servers"]) > MAX_WORKERS:
+            raise AnswerError(f"servers should have at most {MAX_WORKERS} entries")
         entries, named = list[Entry[Server]](), set[str]()
-        for one in raw["servers"]:
-            entry = self._read(one, named)
+        for raw_entry in raw["servers"]:
+            entry = self._read_entry(raw_entry, named)
             if entry is not None:
                 entries.append(entry)
-        whole = full or cached
-        if whole:
+        replaces = full or cached
+        if replaces:
             for name in [name for name in self.known if name not in named]:
                 del self.known[name]
-            # Entries that can't be read are named too: their workers stay as they stood.
-            told = {entry.worker.name for entry in entries}
-            entries += [known.entry for name, known in self.known.items() if name not in told]
-        self.version, self.began = version, True
-        if not whole and not entries:
+            # `named` includes malformed entries, whose workers stay unchanged.
+            parsed = {entry.worker.name for entry in entries}
+            entries += [known.entry for name, known in self.known.items() if name not in parsed]
+        self.version, self._has_list = version, True
+        if not replaces and not entries:
             return None
         kind = ListKind.CACHED if cached else ListKind.FULL if full else ListKind.CHANGES
         return Listing(kind, version, entries)
 
-    def _read(self, raw: Any, named: set[str]) -> Entry[Server] | None:
-        one = {**DEFAULTS, **raw} if isinstance(raw, dict) else {}
-        if "id" in one and isinstance(one["id"], str):
-            named.add(one["id"])
-        for field, good in FIELDS.items():
-            if field not in one or isinstance(one[field], bool) or not good(one[field]):
-                self._note("list.spoilt", f"an entry's {field}")
+    def _read_entry(self, raw: Any, named: set[str]) -> Entry[Server] | None:
+        """Parses one entry and adds its id to `named`; None if it is malformed."""
+        fields = {**DEFAULTS, **raw} if isinstance(raw, dict) else {}
+        if "id" in fields and isinstance(fields["id"], str):
+            named.add(fields["id"])
+        for field, is_valid in FIELD_CHECKS.items():
+            if field not in fields or isinstance(fields[field], bool) or not is_valid(fields[field]):
+                self._warn("list.spoilt", f"an entry is ignored: its {field} is missing or malformed")
                 return None
-        known, name = self.known.get(one["id"]), one["id"]
-        # Placed once: the same start must not look like another one when the clocks have drifted apart.
-        same = known is not None and known.started_ms == one["started_ms"]
+        known, name = self.known.get(fields["id"]), fields["id"]
+        # The start is converted once: after a drift between the clocks the same start must not look like
+        # another.
+        same_start = known is not None and known.started_ms == fields["started_ms"]
         started_at = (
             known.entry.started_at
-            if known is not None and same
-            else (self._place(one["started_ms"]) if one["started_ms"] else 0)
+            if known is not None and same_start
+            else (self._to_module_time(fields["started_ms"]) if fields["started_ms"] else 0)
         )
         entry = self._workers.entry(
             name,
-            one["zone"],
-            one["kind"],
-            one["cell"],
-            STATES[one["state"]],
-            float(one["weight"]),
+            fields["zone"],
+            fields["kind"],
+            fields["cell"],
+            STATES[fields["state"]],
+            float(fields["weight"]),
             started_at,
         )
         if entry.availability is Availability.GONE:
             self.known.pop(name, None)
-        elif known is not None or len(self.known) < MOST:
-            self.known[name] = Known(entry, one["addr"], one["started_ms"])
+        elif known is not None or len(self.known) < MAX_WORKERS:
+            self.known[name] = KnownWorker(entry, fields["addr"], fields["started_ms"])
         return entry
--- a/rushladder/catalog/watch.py
+++ b/rushladder/catalog/watch.py
@@ -1,5 +1,5 @@
-"""The client of discovery's watch: it stays on the list's changes, and dials again whenever it ends or falls
-silent."""
+"""The client of discovery's watch: follows the changes of the list, and reconnects when the watch ends or
+falls silent."""
 
 from __future__ import annotations
 
@@ -8,40 +8,44 @@
 
 from twisted.internet import protocol
 
-from rushladder.catalog.reader import Catalog, Faulty
+from rushladder.catalog.reader import AnswerError, Catalog
 from rushladder.interface import Event
 from rushladder.timing import Clock
 
-SILENT = 3.0  # s without a byte until it is dialled again: an empty line is due every 2 s
-AGAIN_FIRST, AGAIN_MOST = 0.05, 1.0  # s until it is dialled again, doubled until a watch went well
-LINE_MOST = 4 << 20  # bytes of one line: some 10,000 workers
-PATH = "/catalog/members?stream=1&index="
+SILENCE_TIMEOUT_SECONDS = 3.0  # without a byte; discovery sends an empty line every 2 s
+RETRY_BASE_SECONDS, RETRY_MAX_SECONDS = 0.05, 1.0  # the delay doubles with each failure in a row
+MAX_LINE_BYTES = 4 << 20  # some 10,000 workers
+WATCH_PATH = "/catalog/members?stream=1&index="
 
 
-class _Body(protocol.Protocol):
-    """The lines of one answer. A line that its end cuts off is left: it comes again with the next watch."""
+class _ResponseBody(protocol.Protocol):
+    """Splits one response into lines. A line cut off by the end is dropped: the next watch sends it again."""
 
     def __init__(self, watch: Watch) -> None:
         self._watch, self._rest = watch, b""
 
     def dataReceived(self, data: bytes) -> None:
         *lines, self._rest = (self._rest + data).split(b"\n")
-        self._watch.lines(self, lines)
-        if len(self._rest) > LINE_MOST:
-            self._watch.note("list.faulty", "a line without an end")
+        self._watch.lines_received(self, lines)
+        if len(self._rest) > MAX_LINE_BYTES:
+            self._watch.warn("list.faulty", "an incomplete line of the list is already longer than 4 MiB")
             self.stop()
 
     def connectionLost(self, reason: Any = None) -> None:
-        self._watch.ended(self)
+        self._watch.body_ended(self)
 
     def stop(self) -> None:
         transport: Any = self.transport
         if transport is not None:
-            transport.loseConnection()  # what a body's transport has: not all of a connection's own
+            transport.loseConnection()  # the transport of a body has only some methods of a connection
 
 
 class Watch:
-    """One watch at a time. give: takes a listing for the next batch; draw: from [0, 1), for the jitter."""
+    """Keeps one watch open.
+
+    random: returns a number from [0, 1), for the jitter of the retry delay. add_event: takes a listing for
+    the next batch. warn: takes the kind and the text of a warning.
+    """
 
     def __init__(
         self,
@@ -49,127 +53,132 @@
         address: str,
         catalog: Catalog,
         clock: Clock,
-        draw: Callable[[], float],
-        give: Callable[[Event], None],
-        note: Callable[[str, str], None],
+        random: Callable[[], float],
+        add_event: Callable[[Event], None],
+        warn: Callable[[str, str], None],
     ) -> None:
         self._agent, self._address, self._catalog, self._clock = agent, address, catalog, clock
-        self._draw, self._give, self.note = draw, give, note
-        self._body: _Body | None = None
-        self._asked: Any = None
-        self._limit: Any = None
-        self._failures, self._turn, self.heard_at = 0, 0, clock.seconds()
-        self._former: _Body | None = None  # at the place before, until the new one answers
-        self._whole = False  # something could not be read: the whole list is wanted
-        # Since when all that came could be read, in seconds; None: not yet. A first byte is no proof: with it
-        # the wait began anew, and a list that stays unreadable was asked for whole ten times a second.
-        self._well_since: float | None = None
+        self._random, self._add_event, self.warn = random, add_event, warn
+        self._body: _ResponseBody | None = None
+        self._request: Any = None
+        self._timer: Any = None
+        self._failures, self._attempt, self.last_data_at = 0, 0, clock.seconds()
+        self._previous_body: _ResponseBody | None = None  # at the former address, until the new one responds
+        self._needs_full = False  # after a malformed line
+        # Since when all lines of this watch were valid, in seconds; None if they are not. The retry delay is
+        # reset only after some time of valid lines: when the first byte reset it, a list that stayed
+        # malformed was requested in full ten times a second.
+        self._valid_since: float | None = None
 
     def start(self) -> None:
-        self._turn += 1
-        turn = self._turn
-        url = f"http://{self._address}{PATH}{0 if self._whole else self._catalog.version}".encode()
-        self._set(SILENT, self._silent)
-        self._asked = asked = self._agent.request(b"GET", url)
-        asked.addCallbacks(self._answered, lambda why: None, callbackArgs=(turn,))
-        asked.addBoth(lambda found: self._again(turn) if found is None else None)
+        self._attempt += 1
+        attempt = self._attempt
+        url = f"http://{self._address}{WATCH_PATH}{0 if self._needs_full else self._catalog.version}".encode()
+        self._set_timer(SILENCE_TIMEOUT_SECONDS, self._silence_timeout)
+        self._request = request = self._agent.request(b"GET", url)
+        request.addCallbacks(self._response_received, lambda failure: None, callbackArgs=(attempt,))
+        request.addBoth(lambda accepted: self._retry(attempt) if accepted is None else None)
 
     def move(self, address: str) -> None:
-        """Goes on at another address from the version that is known. The watch at the former place is read
-        until the new one answers or that place ends it: a drain that is told there meanwhile counts."""
+        """Continues at another address from the known version. The watch at the former address is read until
+        the new one responds or the former one ends: a drain that it sends meanwhile must not be missed."""
         if address != self._address:
             self._address, self._failures = address, 0
-            former, self._body = self._body or self._former, None
+            previous, self._body = self._body or self._previous_body, None
             self._close()
-            self._former = former
+            self._previous_body = previous
             self.start()
 
     def stop(self) -> None:
         self._close()
-        self._leave()
-        self._turn += 1
-
-    def _answered(self, response: Any, turn: int) -> bool | None:
-        if turn != self._turn or response.code != 200:
-            if turn == self._turn:
-                self.note("list.faulty", f"discovery answered {response.code}")
-            response.deliverBody(closing := _Body(self))
+        self._stop_previous()
+        self._attempt += 1
+
+    def _response_received(self, response: Any, attempt: int) -> bool | None:
+        if attempt != self._attempt or response.code != 200:
+            if attempt == self._attempt:
+                self.warn("list.faulty", f"discovery answered with status {response.code}; it should be 200")
+            response.deliverBody(closing := _ResponseBody(self))
             closing.stop()
             return None
-        self._leave()
-        self._body = _Body(self)
-        self._well_since = None if self._whole else self._clock.seconds()
-        self._heard()
+        self._stop_previous()
+        self._body = _ResponseBody(self)
+        self._valid_since = None if self._needs_full else self._clock.seconds()
+        self._data_received()
         response.deliverBody(self._body)
         return True
 
-    def lines(self, body: _Body, lines: list[bytes]) -> None:
+    def lines_received(self, body: _ResponseBody, lines: list[bytes]) -> None:
         if body is self._body:
-            self._heard()
-        elif body is not self._former:
+            self._data_received()
+        elif body is not self._previous_body:
             return
-        faults = list[str]()
+        errors = list[str]()
         for line in lines:
             try:
                 listing = self._catalog.read_line(line)
-            except Faulty as trouble:
-                faults.append(str(trouble))
+            except AnswerError as error:
+                errors.append(str(error))
                 continue
             if listing is not None:
-                self._give(listing)
-        if faults:
-            self.note("list.faulty", faults[0])
+                self._add_event(listing)
+        if errors:
+            self.warn("list.faulty", errors[0])
         if body is not self._body:
             return
-        if faults:
-            # The next good line would count as the newest, and what this one told would never be heard.
-            self._whole, self._well_since = True, None
-            self._again(self._turn)
-        elif self._whole and any(line.strip() for line in lines):
-            self._whole, self._well_since = False, self._clock.seconds()
-
-    def ended(self, body: _Body) -> None:
-        if body is self._former:
-            self._former = None
+        if errors:
+            # Requests the full list: the next valid line raises the known version, and the changes in the
+            # malformed line would never be sent again.
+            self._needs_full, self._valid_since = True, None
+            self._retry(self._attempt)
+        elif self._needs_full and any(line.strip() for line in lines):
+            self._needs_full, self._valid_since = False, self._clock.seconds()
+
+    def body_ended(self, body: _ResponseBody) -> None:
+        if body is self._previous_body:
+            self._previous_body = None
         if body is self._body:
-            self._again(self._turn)
+            self._retry(self._attempt)
 
-    def _leave(self) -> None:
-        former, self._former = self._former, None
-        if former is not None:
-            former.stop()
+    def _stop_previous(self) -> None:
+        previous, self._previous_body = self._previous_body, None
+        if previous is not None:
+            previous.stop()
 
-    def _heard(self) -> None:
-        self.heard_at = self._clock.seconds()
-        self._set(SILENT, self._silent)
+    def _data_received(self) -> None:
+        self.last_data_at = self._clock.seconds()
+        self._set_timer(SILENCE_TIMEOUT_SECONDS, self._silence_timeout)
 
-    def _silent(self) -> None:
-        self.note("list.silent", "no word of discovery")
+    def _silence_timeout(self) -> None:
+        self.warn("list.silent", "discovery has sent nothing for too long")
         self._close()
-        self._again(self._turn)
+        self._retry(self._attempt)
 
-    def _again(self, turn: int) -> None:
-        if turn != self._turn:
+    def _retry(self, attempt: int) -> None:
+        """Starts another attempt after a delay, unless `attempt` isn't the current one any more."""
+        if attempt != self._attempt:
             return
         self._close()
-        well_since, self._well_since = self._well_since, None
-        if well_since is not None and self._clock.seconds() >= well_since + AGAIN_MOST:
+        valid_since, self._valid_since = self._valid_since, None
+        if valid_since is not None and self._clock.seconds() >= valid_since + RETRY_MAX_SECONDS:
             self._failures = 0
         self._failures += 1
-        wait = min(AGAIN_MOST, AGAIN_FIRST * 2 ** min(self._failures, 10)) * (0.5 + 0.5 * self._draw())
-        self._set(wait, self.start)
+        delay = min(RETRY_MAX_SECONDS, RETRY_BASE_SECONDS * 2 ** min(self._failures, 10)) * (
+            0.5 + 0.5 * self._random()
+        )
+        self._set_timer(delay, self.start)
 
     def _close(self) -> None:
-        self._turn += 1
-        body, self._body, asked, self._asked = self._body, None, self._asked, None
+        self._attempt += 1
+        body, self._body, request, self._request = self._body, None, self._request, None
         if body is not None:
             body.stop()
-        elif asked is not None:
-            asked.cancel()
-        if self._limit is not None and self._limit.active():
-            self._limit.cancel()
-
-    def _set(self, after: float, what: Callable[[], None]) -> None:
-        if self._limit is not None and self._limit.active():
-            self._limit.cancel()
-        self._limit = self._clock.callLater(after, what)
+        elif request is not None:
+            request.cancel()
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+
+    def _set_timer(self, delay: float, callback: Callable[[], None]) -> None:
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = self._clock.callLater(delay, callback)
--- a/rushladder/conf/startup_settings.py
+++ b/rushladder/conf/startup_settings.py
@@ -1,7 +1,7 @@
-"""Turns the settings of a manager's start into what the module's parts ask for, in our words and times.
+"""Converts the settings that a manager gets at its start into the decision module's keyword arguments.
 
-Both roads read them here: the simulator's first message holds them, and so does a manager's configuration on
-the platform. Their times are microseconds.
+The simulator sends these settings in its first message, and the platform has them in a manager's
+configuration file. Their times are microseconds; the module's are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -12,74 +12,75 @@
 
 from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat, Retry
 
-MICROS_PER_TENTH = 100  # microseconds for each tenth of a millisecond inside
-REPEATS = {"retryable": Repeat.INQUIRY_LIKE, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
-UNITS = {"ratio": LevelUnit.RATIO, "rps": LevelUnit.RATE, "silent": LevelUnit.IGNORED}
+MICROS_PER_TENTH = 100  # microseconds per tenth of a millisecond
+IDEMPOTENCY = {"retryable": Repeat.INQUIRY_LIKE, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
+LEVEL_UNITS = {"ratio": LevelUnit.RATIO, "rps": LevelUnit.RATE, "silent": LevelUnit.IGNORED}
 
 
 class SettingsError(ValueError):
-    """The settings are not what their description allows."""
+    """The settings can't be used; says which field, and what is allowed."""
 
 
 def micros_to_tenths(micros: float) -> int:
+    """Converts microseconds to whole tenths of a millisecond, rounded down."""
     return int(micros) // MICROS_PER_TENTH
 
 
-def manager_arguments(boot: Mapping[str, Any]) -> dict[str, Any]:
-    """The keyword arguments of a manager. Raises SettingsError with the reason."""
+def manager_arguments(settings: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns the keyword arguments of a manager's decision module. Raises SettingsError."""
     try:
-        return _manager_arguments(boot)
+        return _manager_arguments(settings)
     except KeyError as missing:
         raise SettingsError(f"lacks {missing}") from None
-    except (TypeError, ValueError, AttributeError, OverflowError) as trouble:
-        raise SettingsError(f"cannot be read: {trouble}") from None
+    except (TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise SettingsError(f"cannot be read: {error}") from None
 
 
-def _manager_arguments(boot: Mapping[str, Any]) -> dict[str, Any]:
-    fam, rules, limits = boot["family_info"], boot["guarantees"], boot["limits"]
+def _manager_arguments(settings: Mapping[str, Any]) -> dict[str, Any]:
+    family, guarantees, limits = settings["family_info"], settings["guarantees"], settings["limits"]
     return {
-        "managers": int(boot["group_size"]),
-        "zones": tuple(str(zone) for zone in boot["azs"]),
-        "products": _products(boot["lanes"], fam),
+        "managers": int(settings["group_size"]),
+        "zones": tuple(str(zone) for zone in settings["azs"]),
+        "products": _products(settings["lanes"], family),
         "channel": Channel(
-            lines_per_s=_above_0(fam, "egress_per_s"),
-            pending_max=float(fam["pending_max"]),
-            head=float(fam["head"]),
-            message_cap=int(fam.get("update_cap", 0)),
-            cap_span=micros_to_tenths(fam.get("counted_over", 0)),
-            usual_way=micros_to_tenths(fam["propagation"]),
-            longest_way=micros_to_tenths(fam["push_delay_max"]),
+            lines_per_s=_positive(family, "egress_per_s"),
+            pending_max=float(family["pending_max"]),
+            head=float(family["head"]),
+            message_cap=int(family.get("update_cap", 0)),
+            cap_span=micros_to_tenths(family.get("counted_over", 0)),
+            usual_way=micros_to_tenths(family["propagation"]),
+            longest_way=micros_to_tenths(family["push_delay_max"]),
         ),
         "guarantee": Guarantee(
-            bare=micros_to_tenths(fam["bare"]),
-            drain_grace=micros_to_tenths(rules["drain_grace"]),
-            cold_time=micros_to_tenths(rules["cold"]),
-            cold_from=float(rules["cold_from"]),
-            fall_multiple=float(rules["overload_factor"]),
-            fall_for=micros_to_tenths(rules["overload_for"]),
-            ask_within=micros_to_tenths(rules.get("ask_within", 0)),
-            dropped_stay_open=bool(rules.get("dropped_stay_open", False)),
+            bare=micros_to_tenths(family["bare"]),
+            drain_grace=micros_to_tenths(guarantees["drain_grace"]),
+            cold_time=micros_to_tenths(guarantees["cold"]),
+            cold_from=float(guarantees["cold_from"]),
+            fall_multiple=float(guarantees["overload_factor"]),
+            fall_for=micros_to_tenths(guarantees["overload_for"]),
+            ask_within=micros_to_tenths(guarantees.get("ask_within", 0)),
+            dropped_stay_open=bool(guarantees.get("dropped_stay_open", False)),
         ),
-        "level_unit": UNITS[fam["throttle_by"]],
-        "asks_list": boot["membership_mode"] == "subscribe",
+        "level_unit": LEVEL_UNITS[family["throttle_by"]],
+        "asks_list": settings["membership_mode"] == "subscribe",
         "may_probe": bool(limits["probes"]),
         "may_tell": bool(limits["may_tell"]),
-        "slices": int(fam["key_ranges"]),
-        "usual": Retry(int(fam.get("base_mode", 0))),
+        "slices": int(family["key_ranges"]),
+        "usual": Retry(int(family.get("base_mode", 0))),
     }
 
 
-def _above_0(fam: Mapping[str, Any], field: str) -> float:
-    """A figure that is divided by: 0 would end the first batch in a traceback. Raises SettingsError."""
-    value = float(fam[field])
+def _positive(family: Mapping[str, Any], field: str) -> float:
+    """Reads a number that is used as a divisor: 0 would raise in the first batch. Raises SettingsError."""
+    value = float(family[field])
     if not 0 < value < inf:
-        raise SettingsError(f"family_info.{field} should be above 0")
+        raise SettingsError(f"family_info.{field} should be a finite number above 0")
     return value
 
 
-def _products(lanes: list[Mapping[str, Any]], fam: Mapping[str, Any]) -> tuple[Product, ...]:
-    writers = fam.get("writers") or [False] * len(lanes)
-    bound = fam.get("zone_bound") or [False] * len(lanes)
+def _products(lanes: list[Mapping[str, Any]], family: Mapping[str, Any]) -> tuple[Product, ...]:
+    writers = family.get("writers") or [False] * len(lanes)
+    zone_bound = family.get("zone_bound") or [False] * len(lanes)
     return tuple(
         Product(
             name=str(lane["name"]),
@@ -87,13 +88,13 @@
             expiry=micros_to_tenths(lane["deadline"]),
             rev=float(lane["points"]),
             late_part=float(lane.get("late_worth", 0.0)),
-            repeat=REPEATS[lane["idempotency"]],
+            repeat=IDEMPOTENCY[lane["idempotency"]],
             group=str(lane.get("group", "all")),
             window=micros_to_tenths(lane.get("repeat_window", 0)),
-            writes=bool(writers[place]),
-            home_only=bool(bound[place]),
+            writes=bool(writers[index]),
+            home_only=bool(zone_bound[index]),
             models=frozenset(lane.get("only_kinds") or ()),
             zones=frozenset(lane.get("only_zones") or ()),
         )
-        for place, lane in enumerate(lanes)
+        for index, lane in enumerate(lanes)
     )
--- a/rushladder/peers/__init__.py
+++ b/rushladder/peers/__init__.py
@@ -1,1 +1,2 @@
-"""Words between managers: protobuf messages over UDP. Lost, late, repeated or foreign ones do no harm."""
+"""Messages between managers, sent as UDP datagrams. Lost, late, repeated and foreign datagrams are
+harmless."""
--- a/rushladder/peers/inbox.py
+++ b/rushladder/peers/inbox.py
@@ -1,4 +1,4 @@
-"""Which of a peer's words count. Free of I/O."""
+"""Decides which messages of a peer are accepted. No I/O."""
 
 from __future__ import annotations
 
@@ -7,44 +7,50 @@
 
 import attrs
 
-# 5 s without a word of the life known: then a lower boot time is a clock set back, not a late word.
-AGAIN = 50_000
+# 5 s, in tenths of a millisecond. If nothing of the known incarnation was accepted for so long, a lower boot
+# time means that the sender's clock was set back, and not that the message is late.
+CLOCK_SET_BACK_TENTHS = 50_000
 
 
 class Verdict(Enum):
+    """Whether a message is accepted; only NEW ones are."""
+
     NEW = "new"
     LATE = "late or repeated"
-    FOREIGN = "of nobody known"
+    FOREIGN = "of an unknown sender"
 
 
 @attrs.define
-class _Life:
+class _Incarnation:
+    """The current process of a peer: its boot time, and its last accepted message's number and time."""
+
     boot: int
     number: int
-    heard: int
+    accepted_at: int
 
 
 class Inbox:
-    """The last word of each peer; bounded by the peers that are configured."""
+    """Keeps the last accepted message of each peer; its size is bounded by the peers in the configuration."""
 
     def __init__(self, peers: Collection[str]) -> None:
-        self._peers, self._lives = frozenset(peers), dict[str, _Life]()
+        self._peers, self._incarnations = frozenset(peers), dict[str, _Incarnation]()
         self.counts = dict.fromkeys(Verdict, 0)
 
-    def judge(self, peer: str, boot: int, number: int, now: int) -> Verdict:
-        """Whether a word is to be believed: from a peer, and later than all that were."""
-        verdict = self._judge(peer, boot, number, now)
+    def accept(self, peer: str, boot: int, number: int, now: int) -> Verdict:
+        """Accepts a message if it is of a known peer and newer than all that were accepted; counts the
+        verdict."""
+        verdict = self._verdict(peer, boot, number, now)
         self.counts[verdict] += 1
         if verdict is Verdict.NEW:
-            self._lives[peer] = _Life(boot, number, now)
+            self._incarnations[peer] = _Incarnation(boot, number, now)
         return verdict
 
-    def _judge(self, peer: str, boot: int, number: int, now: int) -> Verdict:
+    def _verdict(self, peer: str, boot: int, number: int, now: int) -> Verdict:
         if peer not in self._peers:
             return Verdict.FOREIGN
-        life = self._lives.get(peer)
-        if life is None or boot > life.boot:
+        known = self._incarnations.get(peer)
+        if known is None or boot > known.boot:
             return Verdict.NEW
-        if boot < life.boot:
-            return Verdict.NEW if now - life.heard >= AGAIN else Verdict.LATE
-        return Verdict.NEW if number > life.number else Verdict.LATE
+        if boot < known.boot:
+            return Verdict.NEW if now - known.accepted_at >= CLOCK_SET_BACK_TENTHS else Verdict.LATE
+        return Verdict.NEW if number > known.number else Verdict.LATE
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -1,4 +1,4 @@
-"""The UDP side of the words between managers."""
+"""The UDP socket for messages between managers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from rushladder.peers.word_pb2 import Word
 from rushladder.timing import Clock, tenths
 
-MARK = 0x52554C44
-MOST = 1200  # bytes of a datagram: fits any path without being cut up
+MAGIC = 0x52554C44  # the `mark` of each datagram: "RULD"
+MAX_DATAGRAM_BYTES = 1200  # fits any path without fragmentation
 
 
 class PeerLink(protocol.DatagramProtocol):
-    """Sends own words to every peer and hands the module those that count."""
+    """Sends own messages to every peer, and passes the accepted ones of others to the decision module."""
 
     def __init__(
         self,
@@ -26,43 +26,45 @@
         boot: int,
         peers: Mapping[str, PeerSite],
         clock: Clock,
-        heard: Callable[[int, bytes], None],
-        fault: Callable[[str], None],
+        received: Callable[[int, bytes], None],
+        report_error: Callable[[str], None],
     ) -> None:
         self._manager, self._boot, self._peers, self._clock = manager, boot, peers, clock
-        self._heard, self._fault, self._number = heard, fault, 0
+        self._received, self._report_error, self._number = received, report_error, 0
         self.inbox = Inbox(peers.keys())
 
     def send(self, data: bytes) -> None:
         self._number += 1
         datagram = Word(
-            mark=MARK, manager=self._manager, boot=self._boot, number=self._number, data=data
+            mark=MAGIC, manager=self._manager, boot=self._boot, number=self._number, data=data
         ).SerializeToString()
-        if len(datagram) > MOST:
-            return self._fault(f"a word of {len(datagram)} bytes was not sent; {MOST} are allowed")
+        if len(datagram) > MAX_DATAGRAM_BYTES:
+            return self._report_error(
+                f"a message of {len(datagram)} bytes was not sent; at most {MAX_DATAGRAM_BYTES} are allowed"
+            )
         transport: Any = self.transport
         for peer in self._peers.values() if transport is not None else ():
             try:
                 transport.write(datagram, (peer.address.host, peer.address.port))
-            except OSError as trouble:
-                self._fault(f"no word to {peer.name}: {trouble}")
+            except OSError as error:
+                self._report_error(f"a message to peer {peer.name} was not sent: {error}")
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        word = Word()
+        message = Word()
         try:
-            if len(datagram) > MOST:
+            if len(datagram) > MAX_DATAGRAM_BYTES:
                 raise DecodeError
-            word.ParseFromString(datagram)
+            message.ParseFromString(datagram)
         except DecodeError:
-            word.mark = 0
-        if word.mark != MARK:
+            message.mark = 0
+        if message.mark != MAGIC:
             self.inbox.counts[Verdict.FOREIGN] += 1
-            return self._fault("a foreign datagram at the peers' address")
-        verdict = self.inbox.judge(word.manager, word.boot, word.number, tenths(self._clock))
+            return self._report_error("a foreign datagram was received at the address for peers")
+        verdict = self.inbox.accept(message.manager, message.boot, message.number, tenths(self._clock))
         if verdict is Verdict.NEW:
-            self._heard(self._peers[word.manager].number, word.data)
+            self._received(self._peers[message.manager].number, message.data)
         elif verdict is Verdict.FOREIGN:
-            self._fault("a word of a manager that is no peer")
+            self._report_error("a message was received from a manager that is not a configured peer")
 
     def connectionRefused(self) -> None:
-        """A peer that is down: its words are missed as if lost."""
+        """Does nothing: the peer is down, and its messages are treated as lost."""
--- a/rushladder/peers/raw_link.py
+++ b/rushladder/peers/raw_link.py
@@ -1,5 +1,5 @@
-"""Words between managers as the platform carries them: the module's bytes alone, the sender known by
-address."""
+"""Messages between managers as the platform carries them: a datagram holds only the module's bytes, and the
+sender is identified by its address."""
 
 from __future__ import annotations
 
@@ -8,49 +8,59 @@
 
 from twisted.internet import protocol
 
-MOST = 256  # bytes of a datagram: the platform's limit, which the run must not break
+MAX_DATAGRAM_BYTES = 256  # the platform's limit; exceeding it fails the run
 
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 
 
 class RawPeerLink(protocol.DatagramProtocol):
-    """peers: an address for each manager by its number, our own among them; everyone: the one that reaches
-    all. heard: takes a peer's number and bytes."""
+    """peers: the address of each manager by its number, with our own; broadcast: the address that reaches
+    all, if there is one. received: takes the sender's number and its bytes. warn: takes the kind and the text
+    of a warning."""
 
     def __init__(
         self,
         me: int,
-        peers: Sequence[Place],
-        everyone: Place | None,
-        heard: Callable[[int, bytes], None],
-        note: Callable[[str, str], None],
+        peers: Sequence[HostPort],
+        broadcast: HostPort | None,
+        received: Callable[[int, bytes], None],
+        warn: Callable[[str, str], None],
     ) -> None:
-        self._me, self._peers, self._everyone, self._heard, self._note = me, peers, everyone, heard, note
-        self._numbers = {place: number for number, place in enumerate(peers)}
+        self._me, self._peers, self._broadcast, self._received, self._warn = (
+            me,
+            peers,
+            broadcast,
+            received,
+            warn,
+        )
+        self._numbers = {address: number for number, address in enumerate(peers)}
 
-    def tell(self, peer: int | None, data: bytes) -> None:
-        """To one, or to all others. A word that is too long is not sent."""
-        if len(data) > MOST:
-            return self._note("word.long", f"a word of {len(data)} bytes was not sent; {MOST} are allowed")
+    def send(self, peer: int | None, data: bytes) -> None:
+        """Sends to one peer, or to all others if `peer` is None. A message that is too long is not sent."""
+        if len(data) > MAX_DATAGRAM_BYTES:
+            return self._warn(
+                "word.long",
+                f"a message of {len(data)} bytes was not sent; at most {MAX_DATAGRAM_BYTES} are allowed",
+            )
         if peer is not None:
-            places = [place for number, place in enumerate(self._peers) if number == peer != self._me]
-        elif self._everyone is not None:
-            places = [self._everyone]
+            addresses = [address for number, address in enumerate(self._peers) if number == peer != self._me]
+        elif self._broadcast is not None:
+            addresses = [self._broadcast]
         else:
-            places = [place for number, place in enumerate(self._peers) if number != self._me]
+            addresses = [address for number, address in enumerate(self._peers) if number != self._me]
         transport: Any = self.transport
-        for place in places if transport is not None else ():
+        for address in addresses if transport is not None else ():
             try:
-                transport.write(data, place)
-            except OSError as trouble:
-                self._note("word.unsent", str(trouble.strerror))
+                transport.write(data, address)
+            except OSError as error:
+                self._warn("word.unsent", str(error.strerror))
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         number = self._numbers.get(tuple(addr[:2]))
-        if number is None or not datagram or len(datagram) > MOST:
-            return self._note("word.foreign", "a datagram of nobody known, empty or too long")
+        if number is None or not datagram or len(datagram) > MAX_DATAGRAM_BYTES:
+            return self._warn("word.foreign", "a datagram of an unknown sender, or an empty or too long one")
         if number != self._me:
-            self._heard(number, datagram)
+            self._received(number, datagram)
 
     def connectionRefused(self) -> None:
-        """A peer that is down: its words are missed as if lost."""
+        """Does nothing: the peer is down, and its messages are treated as lost."""
--- a/rushladder/service/logs.py
+++ b/rushladder/service/logs.py
@@ -1,4 +1,4 @@
-"""The log of a process: structured lines on standard error."""
+"""Sets up the structured log of a process on standard error."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 def make_log(form: LogForm, **bound: Any) -> Any:
-    render = (
+    """Configures logging and returns a logger. bound: fields that are added to each line."""
+    renderer = (
         structlog.processors.JSONRenderer()
         if form.form == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
@@ -21,7 +22,7 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, form.level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -1,8 +1,7 @@
-"""A manager on the operators' platform: what the environment and the configuration file say, built and
-served.
+"""A manager on the operators' platform: reads the environment and the configuration file, and serves.
 
-Started by `run` of the deploy file. Everything that this road has no use for (memory, DNS, load reports by
-UDP, the runtime sockets, the guard) is neither built nor imported here.
+The `run` command of deploy/balancer.toml starts it. What the platform doesn't use (stored memory, DNS, load
+reports over UDP, runtime sockets, the guard) is neither created nor imported here.
 """
 
 from __future__ import annotations
@@ -24,396 +23,441 @@
 from twisted.logger import ILogObserver, LogLevel, globalLogBeginner
 from zope.interface import provider
 
-from rushladder.catalog.reader import Catalog, Faulty
+from rushladder.catalog.reader import AnswerError, Catalog
 from rushladder.catalog.watch import Watch
 from rushladder.conf.startup_settings import SettingsError, manager_arguments
 from rushladder.conf.objects import LogForm
 from rushladder.core.workers import Workers
 from rushladder.interface import Event, PeerWord, Probed, ProbeResult
-from rushladder.peers.raw_link import RawPeerLink, Place
+from rushladder.peers.raw_link import HostPort, RawPeerLink
 from rushladder.records import Server
 from rushladder.service.probing import Prober
 from rushladder.service.logs import make_log
 from rushladder.service.throttled_log import ThrottledLog
 from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS, numeric_agent
-from rushladder.streams.codec import load_report
-from rushladder.streams.front import Front
+from rushladder.streams.codec import parse_load_report
+from rushladder.streams.listener import Listener
 from rushladder.streams.host import StreamHost
 from rushladder.timing import TENTHS
 
-CONFIG, NAME, LISTEN, DISCOVERY = "RELAY_CONFIG", "RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY"
-EPOCH = 100_000 * TENTHS  # the module's clock at the start: a day, so that starts before it have a place
-# Probes at once: 200 workers, half of them cut off, are through within half a beat by the 0.3 s that dialling
-# may take; fewer where the proxies leave no descriptors for them, yet 30 workers in two helpings.
-PROBES_LEAST, PROBES_MOST = 16, 64
-# Descriptors beside streams and probes: log, poll, listeners, watches old and new, and the connections of a
-# crowd that are accepted in one turn and close in the next.
-RESERVE = 64
-# A configuration file read while it is being replaced is half of one: read again after a tenth of a second,
-# then after doubled waits, 1.5 s in all; one that stays faulty waits for the next SIGHUP.
-RELOAD_AGAIN, RELOADS = 0.1, 5
-PERIOD = 10.0  # s between two lines of figures in the log
-TRACE, TRACE_PERIOD = "RUSHLADDER_TRACE", 1.0  # if set: a line on the channel so often, in s
-HEALTH, REPORT = "/ping", "/_load"
-AT_RELOAD = frozenset({"discovery", "known", "seed"})  # what may differ in a configuration that is read again
-
-
-class Wrong(ValueError):
+CONFIG_ENV, NAME_ENV, LISTEN_ENV, DISCOVERY_ENV = (
+    "RELAY_CONFIG",
+    "RELAY_NAME",
+    "RELAY_LISTEN",
+    "RELAY_DISCOVERY",
+)
+# The module's clock at the process's start: about a day, so that workers' earlier start times are positive.
+CLOCK_START_TENTHS = 100_000 * TENTHS
+# Concurrent probes. With 64, 200 workers of which half are unreachable are probed within half a control
+# period, as a connection attempt takes at most 0.3 s. Where the proxies leave too few descriptors there are
+# fewer, but at least 16, so that 30 workers are probed in two rounds.
+MIN_CONCURRENT_PROBES, MAX_CONCURRENT_PROBES = 16, 64
+# Descriptors beside those for streams and probes: log, poll, listeners, the former and the new watch, and
+# connections of a reconnect storm that are accepted in one turn of the reactor and closed in the next.
+RESERVED_DESCRIPTORS = 64
+# A configuration file that is read while it is being replaced may be incomplete. It is read again after 0.1 s
+# and then after doubled delays, 1.5 s in total; a file that stays invalid is read again at the next SIGHUP.
+RELOAD_RETRY_SECONDS, RELOAD_ATTEMPTS = 0.1, 5
+FIGURES_PERIOD_SECONDS = 10.0  # between two log lines of figures
+TRACE_ENV, TRACE_PERIOD_SECONDS = "RUSHLADDER_TRACE", 1.0  # if set: log the channel's figures this often
+HEALTH_PATH, LOAD_REPORT_PATH = "/ping", "/_load"
+# Fields that may differ in a reloaded configuration without a warning.
+RELOADABLE_FIELDS = frozenset({"discovery", "known", "seed"})
+
+
+class ConfigurationError(ValueError):
     """The configuration can't be used; says which field, and what is allowed."""
 
 
-def _place(text: Any, field: str) -> Place:
-    host, colon, port = str(text).rpartition(":")
-    if not colon or not port.isdigit() or not 0 < int(port) < 65_536 or not host:
-        raise Wrong(f"{field} should be ADDRESS:PORT")
+def _host_port(text: Any, field: str) -> HostPort:
+    host, separator, port = str(text).rpartition(":")
+    if not separator or not port.isdigit() or not 0 < int(port) < 65_536 or not host:
+        raise ConfigurationError(f"{field} should be ADDRESS:PORT")
     return host, int(port)
 
 
 @attrs.frozen
-class Site:
-    """What one manager is told at its start."""
+class Configuration:
+    """What one manager is given at its start."""
 
     name: str
-    listen: Place
-    discovery: Place
+    listen: HostPort
+    discovery: HostPort
     seed: int
     sockets: int
     me: int
     proxies: int
-    peer_listen: Place | None
-    peers: tuple[Place, ...]
-    peers_all: Place | None
+    peer_listen: HostPort | None
+    peers: tuple[HostPort, ...]
+    peers_all: HostPort | None
     known: Any
-    described: Mapping[str, Any]  # the module's keyword arguments
-    report: str  # where load reports come from: "piggyback", "pull" or "silent"
-    reported: frozenset[str]  # the values in them
-    connect: float  # s that dialling a worker may take
-    given: Mapping[str, Any]  # what a reload does not change
+    manager_args: Mapping[str, Any]  # the decision module's keyword arguments
+    report_mode: str  # where load reports come from: "piggyback", "pull" or "silent"
+    load_names: frozenset[str]  # the values in load reports
+    connect_timeout: float  # seconds for a connection to a worker
+    restart_fields: Mapping[str, Any]  # the fields that take effect only after a restart
 
     @property
-    def probes(self) -> int:
-        """Probes at once, with what the streams of all proxies leave."""
-        return max(PROBES_LEAST, min(PROBES_MOST, self.sockets - RESERVE - self.proxies))
+    def concurrent_probes(self) -> int:
+        """How many probes may run at once, given the descriptors that the streams of all proxies leave."""
+        return max(
+            MIN_CONCURRENT_PROBES,
+            min(MAX_CONCURRENT_PROBES, self.sockets - RESERVED_DESCRIPTORS - self.proxies),
+        )
 
 
-def read_site(environment: Mapping[str, str]) -> Site:
-    """Reads the file that the environment names. Raises Wrong."""
-    path = environment.get(CONFIG)
+def read_configuration(environment: Mapping[str, str]) -> Configuration:
+    """Reads the configuration file that the environment names. Raises ConfigurationError."""
+    path = environment.get(CONFIG_ENV)
     if not path:
-        raise Wrong(f"{CONFIG} is not set; it should name the configuration file")
+        raise ConfigurationError(f"{CONFIG_ENV} is not set; it should be the path of the configuration file")
     try:
         raw = json.loads(Path(path).read_bytes())
-    except OSError as trouble:
-        raise Wrong(f"the configuration can't be read: {trouble.strerror}") from None
+    except OSError as error:
+        raise ConfigurationError(f"the configuration file can't be read: {error.strerror}") from None
     except (ValueError, RecursionError):
-        raise Wrong("the configuration is not JSON") from None
+        raise ConfigurationError("the configuration is not JSON; it should be a JSON object") from None
     if not isinstance(raw, dict):
-        raise Wrong("the configuration should be an object")
-    return _site(raw, environment)
+        raise ConfigurationError("the configuration should be a JSON object")
+    return _configuration(raw, environment)
+
 
+def _connect_timeout(micros: Any) -> float:
+    """Returns the seconds that a probe may take to connect. Raises ConfigurationError.
 
-def _connect_within(micros: Any) -> float:
-    """Seconds that a probe's dial may take. A worker that a proxy would not wait for is of no use, so a
-    proxy's wait is ours too; a proxy's wait of 0 says nothing, and taken for ours it would give up each dial
-    at once. Raises Wrong."""
+    The proxies' connect timeout applies, as a worker that proxies give up on is of no use. Their value of 0
+    says nothing about probes, and used here it would fail each connection at once: the default applies
+    instead.
+    """
     try:
         seconds = float(micros) / 1e6
     except (TypeError, ValueError):
         seconds = -1.0
     if not 0 <= seconds < inf:
-        raise Wrong("settings limits.connect_timeout should be microseconds, 0 or more")
+        raise ConfigurationError(
+            "settings limits.connect_timeout should be a number of microseconds, 0 or more"
+        )
     return seconds or CONNECT_TIMEOUT_SECONDS
 
 
-def _site(raw: Mapping[str, Any], environment: Mapping[str, str]) -> Site:
+def _configuration(raw: Mapping[str, Any], environment: Mapping[str, str]) -> Configuration:
     settings, limits = raw.get("settings"), raw.get("limits", {})
     if not isinstance(settings, dict) or not isinstance(limits, dict):
-        raise Wrong("settings and limits should be objects")
+        raise ConfigurationError("settings and limits should be JSON objects")
     try:
-        described = manager_arguments(settings)
+        manager_args = manager_arguments(settings)
         me, proxies = int(settings["me"]), int(settings["family_info"]["proxies"])
         reporting = settings.get("reporting", {})
         connect_timeout = settings["limits"].get("connect_timeout", 0)
-        report, fields = str(reporting.get("how", "silent")), frozenset(map(str, reporting.get("fields", ())))
-    except SettingsError as trouble:
-        raise Wrong(f"settings {trouble}") from None
+        report_mode, load_names = (
+            str(reporting.get("how", "silent")),
+            frozenset(map(str, reporting.get("fields", ()))),
+        )
+    except SettingsError as error:
+        raise ConfigurationError(f"settings {error}") from None
     except KeyError as missing:
-        raise Wrong(f"settings lack {missing}") from None
-    except (TypeError, ValueError, AttributeError) as trouble:
-        raise Wrong(f"settings cannot be read: {trouble}") from None
+        raise ConfigurationError(f"settings lack {missing}") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise ConfigurationError(f"settings cannot be read: {error}") from None
     try:
         seed = int(str(raw.get("seed", "0")), 16)
         sockets = int(limits.get("sockets", 1024))
     except (TypeError, ValueError):
-        raise Wrong("seed should be hexadecimal, limits.sockets a whole number") from None
+        raise ConfigurationError(
+            "seed should be a hexadecimal number, and limits.sockets a whole number"
+        ) from None
     peers = raw.get("peers") or ()
     if not isinstance(peers, list | tuple):
-        raise Wrong("peers should be a list of ADDRESS:PORT")
-    return Site(
-        name=str(raw.get("name") or environment.get(NAME, "")),
-        listen=_place(raw.get("listen") or environment.get(LISTEN), "listen"),
-        discovery=_place(raw.get("discovery") or environment.get(DISCOVERY), "discovery"),
+        raise ConfigurationError("peers should be a list of ADDRESS:PORT")
+    return Configuration(
+        name=str(raw.get("name") or environment.get(NAME_ENV, "")),
+        listen=_host_port(raw.get("listen") or environment.get(LISTEN_ENV), "listen"),
+        discovery=_host_port(raw.get("discovery") or environment.get(DISCOVERY_ENV), "discovery"),
         seed=seed,
         sockets=sockets,
         me=me,
         proxies=proxies,
-        peer_listen=_place(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
-        peers=tuple(_place(peer, "peers") for peer in peers),
-        peers_all=_place(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
+        peer_listen=_host_port(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
+        peers=tuple(_host_port(peer, "peers") for peer in peers),
+        peers_all=_host_port(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
         known=raw.get("known"),
-        described=described,
-        report=report,
-        reported=fields,
-        connect=_connect_within(connect_timeout),
-        given={name: value for name, value in raw.items() if name not in AT_RELOAD},
+        manager_args=manager_args,
+        report_mode=report_mode,
+        load_names=load_names,
+        connect_timeout=_connect_timeout(connect_timeout),
+        restart_fields={name: value for name, value in raw.items() if name not in RELOADABLE_FIELDS},
     )
 
 
 class Node:
-    """One manager and its sockets. monotonic, wall: seconds; the module's clock is the first, which never
-    runs backwards, and the second only places the workers' starts on it."""
+    """One manager and its sockets.
+
+    monotonic, wall: clocks in seconds. The module's clock is based on the first, which never runs backwards;
+    the second only converts the workers' start times.
+    """
 
     def __init__(
         self,
-        site: Site,
+        config: Configuration,
         reactor: Any,
         log: Any,
         monotonic: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        self.site, self._reactor, self._log = site, reactor, log
+        self.config, self._reactor, self._log = config, reactor, log
         self._monotonic, self._wall, self._zero = monotonic, wall, monotonic()
-        self.notes = ThrottledLog(log, reactor)
-        self._batch, self._turn, self._wake = list[Event](), False, None  # type: list[Event], bool, Any
-        self._late = self._slow = 0.0
-        self._waited = [0, 0]  # the longest that a joiner and a withdrawal waited, in tenths of a millisecond
-        self._traced = bool(os.environ.get(TRACE))
+        self.warnings = ThrottledLog(log, reactor)
+        self._batch, self._batch_scheduled, self._wakeup = list[Event](), False, None  # type: list[Event], bool, Any
+        self._max_lateness = self._max_batch_time = 0.0  # seconds, since the last log line
+        # The longest waits of a joining proxy and of a withdrawal, in tenths of a millisecond.
+        self._max_waits = [0, 0]
+        self._traced = bool(os.environ.get(TRACE_ENV))
         self.ended = False
-        # Not the module's own draws: its chance depends on its events alone.
-        draw = Random(site.seed ^ 0x5EED).random
+        # Separate from the module's generator, whose results must depend on its events alone.
+        random = Random(config.seed ^ 0x5EED).random
         agent = numeric_agent(reactor, CONNECT_TIMEOUT_SECONDS)
-        path, pulls = (REPORT, True) if site.report == "pull" else (HEALTH, False)
-        self._again: Any = None
-        self._prober, self._probing = Prober(reactor, path, pulls, site.connect), dict[Server, None]()
-        self._room = DeferredSemaphore(site.probes)
-        self.words = RawPeerLink(site.me, site.peers, site.peers_all, self._heard, self.notes.note)
+        path, pulls = (LOAD_REPORT_PATH, True) if config.report_mode == "pull" else (HEALTH_PATH, False)
+        self._reload_timer: Any = None
+        self._prober, self._probes_in_flight = (
+            Prober(reactor, path, pulls, config.connect_timeout),
+            dict[Server, None](),
+        )
+        self._probe_slots = DeferredSemaphore(config.concurrent_probes)
+        self.peer_link = RawPeerLink(
+            config.me, config.peers, config.peers_all, self._peer_message_received, self.warnings.warn
+        )
         self.workers = Workers()
-        self.catalog = Catalog(self.workers, self.placed, self.notes.note)
-        self.host = StreamHost(site.seed, site.described, self.now(), self._probe, self.words.tell)
-        self._first_list()
+        self.catalog = Catalog(self.workers, self.from_unix_ms, self.warnings.warn)
+        self.host = StreamHost(config.seed, config.manager_args, self.now(), self._probe, self.peer_link.send)
+        self._apply_cached_list()
         self.watch = Watch(
             agent,
-            f"{site.discovery[0]}:{site.discovery[1]}",
+            f"{config.discovery[0]}:{config.discovery[1]}",
             self.catalog,
             reactor,
-            draw,
-            self.give,
-            self.notes.note,
+            random,
+            self.add_event,
+            self.warnings.warn,
         )
-        self.front = Front(
+        self.listener = Listener(
             self.host,
             self.workers,
             reactor,
-            tuple(site.described["zones"]),
-            site.proxies,
-            site.reported,
-            max(1, site.sockets - RESERVE - site.probes),
-            self.give,
-            self.notes.note,
+            tuple(config.manager_args["zones"]),
+            config.proxies,
+            config.load_names,
+            max(1, config.sockets - RESERVED_DESCRIPTORS - config.concurrent_probes),
+            self.add_event,
+            self.warnings.warn,
         )
 
-    def _first_list(self) -> None:
-        """Steers by the list as it was before the start until discovery is heard."""
+    def _apply_cached_list(self) -> None:
+        """Uses the list from before the start until discovery has answered."""
         try:
-            listing = self.catalog.told(self.site.known, cached=True) if self.site.known else None
-        except Faulty as trouble:
-            self.notes.note("known.faulty", str(trouble))
+            listing = self.catalog.update(self.config.known, cached=True) if self.config.known else None
+        except AnswerError as error:
+            self.warnings.warn("known.faulty", str(error))
             listing = None
-        self._take([listing] if listing is not None else [])
+        self._process_batch([listing] if listing is not None else [])
 
     def start(self) -> None:
-        site = self.site
-        if site.peer_listen is not None and site.described["may_tell"]:
-            self._reactor.listenUDP(site.peer_listen[1], self.words, interface=site.peer_listen[0])
+        config = self.config
+        if config.peer_listen is not None and config.manager_args["may_tell"]:
+            self._reactor.listenUDP(config.peer_listen[1], self.peer_link, interface=config.peer_listen[0])
         self.watch.start()
-        self._figures()
+        self._log_figures()
         if self._traced:
-            self._trace()
-        # All proxies may dial at once; past the kernel's own bound a larger figure changes nothing.
+            self._log_channel()
+        # All proxies may connect at once. The kernel caps larger values at its own limit.
         self._reactor.listenTCP(
-            site.listen[1], self.front, backlog=max(1024, 2 * site.proxies), interface=site.listen[0]
+            config.listen[1], self.listener, backlog=max(1024, 2 * config.proxies), interface=config.listen[0]
         )
         self._log.info(
             "node.serves",
-            name=site.name,
+            name=config.name,
             workers=len(self.catalog.known),
-            proxies=site.proxies,
-            places=self.front.places,
+            proxies=config.proxies,
+            places=self.listener.max_connections,
         )
 
-    # Time.
+    # Clocks.
 
     def now(self) -> int:
-        return EPOCH + int((self._monotonic() - self._zero) * TENTHS)
+        return CLOCK_START_TENTHS + int((self._monotonic() - self._zero) * TENTHS)
 
-    def placed(self, unix_ms: float) -> int:
+    def from_unix_ms(self, unix_ms: float) -> int:
+        """Converts a Unix time in milliseconds to the module's clock; 1 if it lies before the clock's
+        zero."""
         return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS / 1000))
 
-    # Events in, orders out: all that one turn of the reactor read is one batch.
+    # Batches: all events that were read in one turn of the reactor are handled together.
 
-    def give(self, event: Event) -> None:
+    def add_event(self, event: Event) -> None:
         self._batch.append(event)
-        if not self._turn:
-            self._turn = True
-            self._reactor.callLater(0, self._close)
+        if not self._batch_scheduled:
+            self._batch_scheduled = True
+            self._reactor.callLater(0, self._flush_batch)
 
-    def _close(self) -> None:
-        batch, self._batch, self._turn = self._batch, [], False
-        self._take(batch)
+    def _flush_batch(self) -> None:
+        batch, self._batch, self._batch_scheduled = self._batch, [], False
+        self._process_batch(batch)
 
-    def _woken(self) -> None:
-        due = self.host.next()
+    def _on_wakeup(self) -> None:
+        due = self.host.next_wakeup()
         if due is not None:
-            self._late = max(self._late, (self.now() - due) / TENTHS)
+            self._max_lateness = max(self._max_lateness, (self.now() - due) / TENTHS)
         backlog = self.host.manager.backlog()
-        self._waited = [
-            max(self._waited[0], backlog.joiner_waited),
-            max(self._waited[1], backlog.withdrawal_waited),
+        self._max_waits = [
+            max(self._max_waits[0], backlog.joiner_waited),
+            max(self._max_waits[1], backlog.withdrawal_waited),
         ]
-        self._close()
+        self._flush_batch()
 
-    def _take(self, batch: list[Event]) -> None:
-        began = self._monotonic()
+    def _process_batch(self, batch: list[Event]) -> None:
+        started = self._monotonic()
         try:
             self.host.process_batch(self.now(), batch)
         finally:
-            self._slow = max(self._slow, self._monotonic() - began)
-            due = self.host.next()
+            self._max_batch_time = max(self._max_batch_time, self._monotonic() - started)
+            due = self.host.next_wakeup()
             if due is not None:
-                if self._wake is not None and self._wake.active():
-                    self._wake.cancel()
+                if self._wakeup is not None and self._wakeup.active():
+                    self._wakeup.cancel()
                 wait = max(0.0, (due - self.now()) / TENTHS) + 1e-4
-                self._wake = self._reactor.callLater(wait, self._woken)
+                self._wakeup = self._reactor.callLater(wait, self._on_wakeup)
 
     def _probe(self, server: Server) -> None:
-        # One at a time: a late answer says enough when it comes.
-        if server.name not in self.catalog.known or server in self._probing:
+        # One probe per worker at a time: the result of a slow one is as good when it arrives.
+        if server.name not in self.catalog.known or server in self._probes_in_flight:
             return
-        self._probing[server] = None
-        asked, at = self.now(), list[Any]()
+        self._probes_in_flight[server] = None
+        started, target = self.now(), list[Any]()
 
         def begin() -> Any:
-            """It may have waited for its turn: where the worker is now, if it is still listed."""
-            at.append(self.catalog.life(server))
-            return self._prober.probe(at[0][0]) if at[0] is not None else None
-
-        def done(found: Any) -> None:
-            self._probing.pop(server, None)
-            # An answer of the life before says nothing of one that has moved or started anew, nor of one that
-            # is gone: two of them would withdraw a worker that is well.
-            if at[0] is None or at[0] != self.catalog.life(server):
+            """Probes the address that the worker has now, if it is still listed: the probe may have been
+            queued."""
+            target.append(self.catalog.incarnation(server))
+            return self._prober.probe(target[0][0]) if target[0] is not None else None
+
+        def done(outcome: Any) -> None:
+            self._probes_in_flight.pop(server, None)
+            # The result of an earlier incarnation says nothing about a worker that has moved, restarted or
+            # gone: two such failures would withdraw a healthy worker.
+            if target[0] is None or target[0] != self.catalog.incarnation(server):
                 return
-            result, body = found if isinstance(found, tuple) else (ProbeResult.ERROR, b"")
-            load = {name: value for name, value in load_report(body).items() if name in self.site.reported}
-            self.give(Probed(server, result, self.now() - asked, load))
-
-        self._room.run(begin).addBoth(done)
-
-    def _heard(self, peer: int, data: bytes) -> None:
-        self.give(PeerWord(peer, data))
-
-    # Signals and figures.
-
-    def reload(self, environment: Mapping[str, str] = os.environ, tries: int = RELOADS) -> None:
-        """Reads the configuration again: the watch goes on at the place that it names now. A faulty file
-        changes nothing, and is read again soon, as it may be in the middle of being replaced."""
-        if self._again is not None and self._again.active():
-            self._again.cancel()
+            result, body = outcome if isinstance(outcome, tuple) else (ProbeResult.ERROR, b"")
+            load = {
+                name: value
+                for name, value in parse_load_report(body).items()
+                if name in self.config.load_names
+            }
+            self.add_event(Probed(server, result, self.now() - started, load))
+
+        self._probe_slots.run(begin).addBoth(done)
+
+    def _peer_message_received(self, peer: int, data: bytes) -> None:
+        self.add_event(PeerWord(peer, data))
+
+    # Reload and figures.
+
+    def reload(self, environment: Mapping[str, str] = os.environ, attempts: int = RELOAD_ATTEMPTS) -> None:
+        """Reads the configuration again and moves the watch to the discovery address in it. An invalid file
+        changes nothing and is read again soon, as it may be in the middle of being replaced."""
+        if self._reload_timer is not None and self._reload_timer.active():
+            self._reload_timer.cancel()
         try:
-            site = read_site(environment)
-        except Wrong as trouble:
-            self.notes.note("reload.refused", str(trouble))
-            if tries > 1:
-                wait = RELOAD_AGAIN * 2 ** (RELOADS - tries)
-                self._again = self._reactor.callLater(wait, self.reload, environment, tries - 1)
+            config = read_configuration(environment)
+        except ConfigurationError as error:
+            self.warnings.warn("reload.refused", str(error))
+            if attempts > 1:
+                delay = RELOAD_RETRY_SECONDS * 2 ** (RELOAD_ATTEMPTS - attempts)
+                self._reload_timer = self._reactor.callLater(delay, self.reload, environment, attempts - 1)
             return
-        kept = [name for name in site.given if site.given[name] != self.site.given.get(name)]
-        if kept:
-            self.notes.note("reload.kept", "takes a restart: " + ", ".join(sorted(kept))[:200])
-        self._log.info("reload", discovery=f"{site.discovery[0]}:{site.discovery[1]}")
-        self.watch.move(f"{site.discovery[0]}:{site.discovery[1]}")
-
-    def _figures(self) -> None:
-        self._reactor.callLater(PERIOD, self._figures)
+        changed = [
+            name
+            for name in config.restart_fields
+            if config.restart_fields[name] != self.config.restart_fields.get(name)
+        ]
+        if changed:
+            self.warnings.warn(
+                "reload.kept", "only a restart applies changes of: " + ", ".join(sorted(changed))[:200]
+            )
+        self._log.info("reload", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
+        self.watch.move(f"{config.discovery[0]}:{config.discovery[1]}")
+
+    def _log_figures(self) -> None:
+        self._reactor.callLater(FIGURES_PERIOD_SECONDS, self._log_figures)
         self._log.info(
             "figures",
             streams=len(self.host.joined_proxies),
-            strangers=len(self.front.strangers),
+            strangers=len(self.listener.unidentified),
             version=self.catalog.version,
             listed=len(self.catalog.known),
             workers=len(self.workers),
-            list_age=round(self._reactor.seconds() - self.watch.heard_at, 1),
+            list_age=round(self._reactor.seconds() - self.watch.last_data_at, 1),
             descriptors=_descriptors(),
             rss_mb=_rss_mb(),
-            late_ms=round(1000 * self._late),
-            slow_ms=round(1000 * self._slow),
+            late_ms=round(1000 * self._max_lateness),
+            slow_ms=round(1000 * self._max_batch_time),
             lines=self.host.lines,
             messages=self.host.messages,
-            faults=self.notes.totals(),
-            **({} if self._traced else self._channel()),
+            faults=self.warnings.totals(),
+            **({} if self._traced else self._channel_figures()),
         )
-        self._late = self._slow = 0.0
+        self._max_lateness = self._max_batch_time = 0.0
 
-    def _channel(self) -> dict[str, Any]:
-        """What was written since these figures were last taken, by purpose, and what waits."""
-        written, backlog = self.host.account.take(self.now()), self.host.manager.backlog()
-        joiner, withdrawal = self._waited
-        self._waited = [0, 0]
+    def _channel_figures(self) -> dict[str, Any]:
+        """What was written since these figures were last taken, by purpose, and what is queued."""
+        written, backlog = self.host.channel_meter.take_figures(self.now()), self.host.manager.backlog()
+        joiner_wait, withdrawal_wait = self._max_waits
+        self._max_waits = [0, 0]
         return {
             "written": dict(written.lines),
             "heads": written.messages,
             "queue": written.queue,
-            "queue_most": written.queue_most,
+            "queue_most": written.queue_max,
             "counted": backlog.lines,
             "unbound": backlog.unbound,
-            "joiner_ms": max(joiner, backlog.joiner_waited) // 10,
-            "withdrawal_ms": max(withdrawal, backlog.withdrawal_waited) // 10,
+            "joiner_ms": max(joiner_wait, backlog.joiner_waited) // 10,
+            "withdrawal_ms": max(withdrawal_wait, backlog.withdrawal_waited) // 10,
         }
 
-    def _trace(self) -> None:
-        self._reactor.callLater(TRACE_PERIOD, self._trace)
-        self._log.info("channel", **self._channel())
+    def _log_channel(self) -> None:
+        self._reactor.callLater(TRACE_PERIOD_SECONDS, self._log_channel)
+        self._log.info("channel", **self._channel_figures())
 
 
-ENDING_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)  # by default each ends the process
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)  # each ends the process by default
 
 
 class Signals:
-    """SIGHUP and SIGTERM from the process's first line on. By default the one would kill a manager that is
-    about to serve, and the reactor's own handler of the other fails when it comes twice."""
+    """Handles SIGHUP, SIGTERM and SIGINT from the very start of the process. By default, SIGHUP would kill a
+    manager that is about to serve, and the reactor's own handler of SIGTERM fails when the signal arrives
+    twice."""
 
     def __init__(self) -> None:
-        self._early, self._give = list[int](), self._early_one
-        for number in ENDING_SIGNALS:
-            signal.signal(number, lambda number, _: self._give(number))
+        self._pending, self._handle = list[int](), self._handle_before_start
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, lambda number, _: self._handle(number))
 
-    def _early_one(self, number: int) -> None:
+    def _handle_before_start(self, number: int) -> None:
         if number != signal.SIGHUP:
             self.ignore()
-            raise SystemExit(0)  # nothing is served yet, and nobody waits for it
-        self._early = [number]
+            raise SystemExit(0)  # nothing is served yet, so nothing has to be shut down
+        self._pending = [number]
 
     def ignore(self) -> None:
-        """The process is about to end. The interpreter takes its handlers back while it ends: a second
-        SIGTERM then ended it by the signal, as if it had crashed. What is ignored stays so."""
-        for number in ENDING_SIGNALS:
+        """Ignores the signals until the process has ended. The interpreter restores the default handlers
+        while it exits, and a second SIGTERM then killed the process as if it had crashed; ignored signals
+        stay ignored."""
+        for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
 
-    def heard(self, reactor: Any, reload: Callable[[], None], end: Callable[[], None]) -> None:
-        """From now on they are carried out in turns of the reactor; also one that came before."""
-        self._give = lambda number: reactor.callFromThread(reload if number == signal.SIGHUP else end)
-        for number in self._early:
-            self._give(number)
+    def attach(self, reactor: Any, reload: Callable[[], None], end: Callable[[], None]) -> None:
+        """Handles signals in the reactor from now on, including a SIGHUP that arrived before."""
+        self._handle = lambda number: reactor.callFromThread(reload if number == signal.SIGHUP else end)
+        for number in self._pending:
+            self._handle(number)
 
 
 def _descriptors() -> int:
@@ -432,29 +476,31 @@
 
 
 def main() -> int:
-    """Serves until SIGTERM. Leaves with 2 and one line if the configuration is faulty."""
+    """Serves until SIGTERM or SIGINT. Returns 2 after one log line if the configuration is invalid."""
     signals = Signals()
     log = make_log(LogForm("json", "info"))
     try:
-        site = read_site(os.environ)
-    except Wrong as trouble:
-        log.error("configuration", why=str(trouble))
+        config = read_configuration(os.environ)
+    except ConfigurationError as error:
+        log.error("configuration", why=str(error))
         return 2
-    from twisted.internet import reactor as found
+    from twisted.internet import reactor as installed_reactor
 
-    reactor: Any = found
+    reactor: Any = installed_reactor
 
     def observe(event: Mapping[str, Any]) -> None:
         if event.get("log_level") in (LogLevel.error, LogLevel.critical):
             failure = event.get("log_failure")
-            notes.note("error", failure.getTraceback()[-1500:] if failure else str(event.get("log_format")))
+            warnings.warn(
+                "error", failure.getTraceback()[-1500:] if failure else str(event.get("log_format"))
+            )
 
-    notes = ThrottledLog(log, reactor)
+    warnings = ThrottledLog(log, reactor)
     globalLogBeginner.beginLoggingTo(
         [provider(ILogObserver)(observe)], redirectStandardIO=False, discardBuffer=True
     )
-    node = Node(site, reactor, log)
-    failed = list[str]()
+    node = Node(config, reactor, log)
+    failures = list[str]()
 
     def end() -> None:
         if reactor.running and not node.ended:
@@ -464,18 +510,18 @@
     def start() -> None:
         try:
             node.start()
-        except Exception as trouble:  # a process that can't listen must not stay and look alive
-            failed.append(f"{type(trouble).__name__}: {trouble}")
+        except Exception as error:  # a process that can't listen must not keep running and look healthy
+            failures.append(f"{type(error).__name__}: {error}")
             end()
 
     reactor.callWhenRunning(start)
-    reactor.callWhenRunning(signals.heard, reactor, node.reload, end)
+    reactor.callWhenRunning(signals.attach, reactor, node.reload, end)
     gc.collect()
-    gc.freeze()  # what was imported stays: collections need not walk it again and again
+    gc.freeze()  # imported modules stay alive: the collector needn't traverse them each time
     reactor.run(installSignalHandlers=False)
     signals.ignore()
-    if failed:
-        log.error("node.failed", why=failed[0])
+    if failures:
+        log.error("node.failed", why=failures[0])
         return 1
     log.info("node.ended", streams=len(node.host.joined_proxies))
     return 0
--- a/rushladder/service/probing.py
+++ b/rushladder/service/probing.py
@@ -1,8 +1,8 @@
-"""One GET on a connection of its own: what the platform's probes are made of.
+"""HTTP probes of workers: one GET request on a connection of its own.
 
-A manager probes each of 200 workers once a beat, and an HTTP client with its pool, URLs and steps was the
-greatest part of its processor time. Whether a worker is well stands in the first line of its answer, so a
-probe of health reads no more; h11 reads an answer whose body is wanted.
+A manager probes each of 200 workers once per control period, and a full HTTP client with its connection pool
+and URL handling took most of its processor time. Health probes read only the status line; h11 parses the
+response when its body is needed.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 from rushladder.interface import ProbeResult
 
-ANSWER_MOST = 1.0  # s for an answer: the module's beat, so that one probe is over when the next is asked for
-REPORT_MOST = 1024  # bytes of a load report: ten times four values with their names
-LINE_MOST = 1024  # bytes of an answer's first line: ten times a long one
-TURNED_AWAY = (429, 503)  # too busy, or draining
-FIRST = re.compile(rb"HTTP/1\.[01] ([1-5][0-9][0-9])\b")
+RESPONSE_TIMEOUT_SECONDS = 1.0  # the module's control period: a probe ends before the next one is ordered
+MAX_REPORT_BYTES = 1024  # ten times a load report of four values with their names
+MAX_STATUS_LINE_BYTES = 1024  # ten times a long status line
+REJECTED_STATUSES = (429, 503)  # too busy, or draining
+STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([1-5][0-9][0-9])\b")
 
-Found = tuple[ProbeResult, bytes]
+Outcome = tuple[ProbeResult, bytes]
 
 
-def _said(code: int) -> ProbeResult:
-    if code in TURNED_AWAY:
+def _status_result(code: int) -> ProbeResult:
+    if code in REJECTED_STATUSES:
         return ProbeResult.TURNED_AWAY
     return ProbeResult.OK if code < 400 else ProbeResult.ERROR
 
 
-class _Health(protocol.Protocol):
-    """Asks once connected, and is done with the answer's first line, or the connection's end."""
+class _HealthProbe(protocol.Protocol):
+    """Sends the request and ends the probe with the status line, or when the connection is closed."""
 
-    def __init__(self, request: bytes, done: Deferred[Found]) -> None:
-        self._request, self._done, self._rest = request, done, b""
+    def __init__(self, request: bytes, done: Deferred[Outcome]) -> None:
+        self._request, self._done, self._received = request, done, b""
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
@@ -45,11 +45,11 @@
     def dataReceived(self, data: bytes) -> None:
         if self._done.called:
             return
-        self._rest += data
-        line, ended, _ = self._rest.partition(b"\n")
-        if ended or len(self._rest) > LINE_MOST:
-            code = FIRST.match(line)
-            self.end(_said(int(code[1])) if code else ProbeResult.ERROR)
+        self._received += data
+        line, newline, _ = self._received.partition(b"\n")
+        if newline or len(self._received) > MAX_STATUS_LINE_BYTES:
+            code = STATUS_LINE.match(line)
+            self.end(_status_result(int(code[1])) if code else ProbeResult.ERROR)
 
     def connectionLost(self, reason: Any = None) -> None:
         if not self._done.called:
@@ -62,16 +62,17 @@
     def close(self) -> None:
         transport: Any = self.transport
         if transport is not None:
-            transport.abortConnection()  # at once: a worker that reads no more must not keep a descriptor
+            transport.abortConnection()  # a worker that stopped reading must not keep a descriptor in use
 
 
-class _Report(_Health):
-    """The same, to the end of the answer's body, its cut, or the connection's end."""
+class _ReportProbe(_HealthProbe):
+    """Like _HealthProbe, but reads the body up to its end, its maximum size or the end of the connection."""
 
-    def __init__(self, request: bytes, done: Deferred[Found]) -> None:
+    def __init__(self, request: bytes, done: Deferred[Outcome]) -> None:
         super().__init__(request, done)
         self._http, self._result, self._body = h11.Connection(h11.CLIENT), ProbeResult.RESET, b""
-        self._http.send(h11.Request(method="GET", target="/", headers=[("Host", "-")]))  # awaits its answer
+        # Output is discarded: h11 parses a response only after it has produced a request.
+        self._http.send(h11.Request(method="GET", target="/", headers=[("Host", "-")]))
         self._http.send(h11.EndOfMessage())
 
     def dataReceived(self, data: bytes) -> None:
@@ -80,7 +81,7 @@
 
     def connectionLost(self, reason: Any = None) -> None:
         if not self._done.called:
-            self._read(b"")  # an answer may end with its connection
+            self._read(b"")  # the end of the connection may end the body
         if not self._done.called:
             self._end()
 
@@ -89,73 +90,75 @@
             self._http.receive_data(data)
             while (event := self._http.next_event()) is not h11.NEED_DATA:
                 if isinstance(event, h11.Response):
-                    self._result = _said(event.status_code)
+                    self._result = _status_result(event.status_code)
                 elif isinstance(event, h11.Data):
                     self._body += bytes(event.data)
-                if isinstance(event, h11.EndOfMessage) or len(self._body) > REPORT_MOST:
+                if isinstance(event, h11.EndOfMessage) or len(self._body) > MAX_REPORT_BYTES:
                     return self._end()
                 if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                     return self._end()
         except h11.RemoteProtocolError:
-            if data:  # what can't be read; a connection that ended in the middle says only that
+            if data:  # malformed; a connection that ended early keeps the result so far
                 self._result = ProbeResult.ERROR
             self._end()
 
     def _end(self) -> None:
-        self.end(self._result, self._body[:REPORT_MOST])
+        self.end(self._result, self._body[:MAX_REPORT_BYTES])
 
 
-class _Dial(protocol.Factory):
-    noisy = False  # a line of log for each probe's beginning and end
+class _ProbeFactory(protocol.Factory):
+    """Passes one probe's protocol to its connection."""
 
-    def __init__(self, wire: _Health) -> None:
-        self._wire = wire
+    noisy = False  # otherwise Twisted logs the start and the end of each probe
 
-    def buildProtocol(self, addr: Any) -> _Health:
-        return self._wire
+    def __init__(self, probe: _HealthProbe) -> None:
+        self._probe = probe
+
+    def buildProtocol(self, addr: Any) -> _HealthProbe:
+        return self._probe
 
 
 class Prober:
-    """Probes workers at one path. report: whether the answer's body is wanted; within: seconds for a
-    connection, as the settings have it."""
+    """Probes workers at one path. with_body: whether the response's body is needed; connect_timeout: seconds,
+    from the settings."""
 
-    def __init__(self, reactor: Any, path: str, report: bool, within: float) -> None:
-        self._reactor, self._path, self._within = reactor, path, within
-        self._kind = _Report if report else _Health
+    def __init__(self, reactor: Any, path: str, with_body: bool, connect_timeout: float) -> None:
+        self._reactor, self._path, self._connect_timeout = reactor, path, connect_timeout
+        self._probe_class = _ReportProbe if with_body else _HealthProbe
 
-    def probe(self, address: str) -> Deferred[Found]:
-        """Its result and the start of the answer's body, by `ANSWER_MOST` at the latest. Never fails."""
+    def probe(self, address: str) -> Deferred[Outcome]:
+        """Returns the result and the start of the body within `RESPONSE_TIMEOUT_SECONDS`. Never fails."""
         host, _, port = address.rpartition(":")
         request = f"GET {self._path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n".encode()
 
-        def give_up(_: Any) -> None:
-            dial.cancel()
-            wire.close()
+        def cancel(_: Any) -> None:
+            attempt.cancel()
+            probe.close()
 
-        done: Deferred[Found] = Deferred(give_up)
-        wire = self._kind(request, done)
+        done: Deferred[Outcome] = Deferred(cancel)
+        probe = self._probe_class(request, done)
 
-        def undialled(failure: Failure) -> None:
+        def connect_failed(failure: Failure) -> None:
             if not done.called:
-                late = failure.check(error.TimeoutError, CancelledError)
-                done.callback((ProbeResult.TIMED_OUT if late else ProbeResult.UNREACHABLE, b""))
-
-        factory: Any = _Dial(wire)
-        dial = endpoints.TCP4ClientEndpoint(self._reactor, host, int(port), timeout=self._within).connect(
-            factory
-        )
-        dial.addErrback(undialled)
-        done.addTimeout(ANSWER_MOST, self._reactor)
+                timed_out = failure.check(error.TimeoutError, CancelledError)
+                done.callback((ProbeResult.TIMED_OUT if timed_out else ProbeResult.UNREACHABLE, b""))
+
+        factory: Any = _ProbeFactory(probe)
+        attempt = endpoints.TCP4ClientEndpoint(
+            self._reactor, host, int(port), timeout=self._connect_timeout
+        ).connect(factory)
+        attempt.addErrback(connect_failed)
+        done.addTimeout(RESPONSE_TIMEOUT_SECONDS, self._reactor)
         done.addErrback(lambda failure: (ProbeResult.TIMED_OUT, b""))
         return done
 
 
 class HealthProber:
-    """Probes where the result alone counts. within: seconds for a connection."""
+    """Probes of which only the result is needed. connect_timeout: seconds."""
 
-    def __init__(self, reactor: Any, path: str, within: float) -> None:
-        self._prober = Prober(reactor, path, False, within)
+    def __init__(self, reactor: Any, path: str, connect_timeout: float) -> None:
+        self._prober = Prober(reactor, path, False, connect_timeout)
 
     def probe(self, address: str) -> Deferred[ProbeResult]:
-        """Its result, by `ANSWER_MOST` at the latest. Never fails."""
-        return self._prober.probe(address).addCallback(lambda found: found[0])
+        """Returns the result within `RESPONSE_TIMEOUT_SECONDS`. Never fails."""
+        return self._prober.probe(address).addCallback(lambda outcome: outcome[0])
--- a/rushladder/streams/__init__.py
+++ b/rushladder/streams/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's road: collectors and proxies speak to a manager in lines, and a manager orders in lines."""
+"""The platform's line protocol: collectors and proxies send reports, a manager answers with tables."""
--- a/rushladder/streams/codec.py
+++ b/rushladder/streams/codec.py
@@ -1,8 +1,9 @@
-"""The platform's lines (its PROTOCOL page): bytes to typed messages and back. Free of I/O.
+"""Parses and formats the lines of the platform's protocol (its PROTOCOL page). No I/O.
 
-A line is `KIND name=value ...`, ended by CRLF. Times on the wire are milliseconds; inside, tenths of one.
-What can't be read raises `Unreadable`; a readable line with a bad field becomes `Spoilt`, so that it can be
-dropped alone. The outside words are kept in this file.
+A line is `KIND name=value ...`, terminated by CRLF. Times are milliseconds on the wire and tenths of a
+millisecond inside. Input that can't be parsed at all raises `ProtocolError`; a line of a known kind with an
+invalid field becomes `Malformed`, so that only that line is dropped. The names used on the wire appear in
+this module alone.
 """
 
 from __future__ import annotations
@@ -15,33 +16,33 @@
 
 from rushladder.conf.startup_settings import MICROS_PER_TENTH
 
-ENDING = b"\r\n"
-MOST = 1 << 20  # bytes of a message: the protocol's own limit
-PARTS = 64  # parts of a message: likewise
-LONGEST = 600_000.0  # ms that a report may speak of: ten minutes, far beyond any gathering
+LINE_ENDING = b"\r\n"
+MAX_MESSAGE_BYTES = 1 << 20  # the protocol's own limit
+MAX_MESSAGE_PARTS = 64  # the protocol's own limit
+MAX_REPORT_MS = 600_000.0  # upper bound for times in reports: ten minutes, far above any reporting interval
 PONG, NACK = b"PONG\r\n", b"NACK\r\n"
-MARKS = 65_536
+MARK_MODULUS = 65_536  # marks wrap around here
 
 
-class Unreadable(Exception):
-    """Nothing more can be read from this sender."""
+class ProtocolError(Exception):
+    """The input can't be parsed, and nothing more is read from this connection."""
 
 
 @attrs.frozen
 class Ping:
-    pass
+    """A health check of the manager."""
 
 
 @attrs.frozen
 class Source:
-    """A collector names its zone."""
+    """Identifies the connection as the collector of a zone."""
 
     zone: str
 
 
 @attrs.frozen
 class Subscribe:
-    """A proxy joins; `weight`: roughly its txns a second; `fresh`: it holds no table that was ordered."""
+    """A proxy joins. `weight`: roughly its txns per second; `fresh`: it holds no table from a manager yet."""
 
     proxy: int
     zone: str
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class Load:
-    """What the proxies of a zone met at a worker. Times: tenths of a millisecond."""
+    """The tries that the proxies of a zone made at one worker. Times: tenths of a millisecond."""
 
     zone: str
     server: str
@@ -64,7 +65,7 @@
 
 @attrs.frozen
 class Rate:
-    """What came to a proxy of one product."""
+    """The txns of one product that arrived at a proxy."""
 
     proxy: int
     product: str
@@ -75,26 +76,32 @@
 
 @attrs.frozen
 class Ack:
+    """A proxy has applied the message that carried `mark`, after `elapsed` tenths of a millisecond."""
+
     proxy: int
     mark: int
-    took: int
+    elapsed: int
 
 
 @attrs.frozen
-class Spoilt:
-    """A readable line that says nothing sure: its kind, and what is wrong with it."""
+class Malformed:
+    """A line of a known kind that is ignored: its kind, and what is wrong with it."""
 
     kind: str
-    why: str
+    reason: str
+
+
+Message = Ping | Source | Subscribe | Load | Rate | Ack | Malformed
 
 
-Message = Ping | Source | Subscribe | Load | Rate | Ack | Spoilt
+# The readers of field values. The text of their ValueError says what is allowed; `parse_line` puts the
+# field's name in front of it.
 
 
-def _whole(most: int) -> Callable[[str], int]:
+def _integer(maximum: int) -> Callable[[str], int]:
     def read(text: str) -> int:
-        if not re.fullmatch(r"[0-9]{1,12}", text) or int(text) > most:
-            raise ValueError(f"a whole number up to {most}")
+        if not re.fullmatch(r"[0-9]{1,12}", text) or int(text) > maximum:
+            raise ValueError(f"a whole number from 0 to {maximum}")
         return int(text)
 
     return read
@@ -102,46 +109,46 @@
 
 def _number(text: str) -> float:
     if not re.fullmatch(r"[0-9]{1,15}(\.[0-9]{1,20})?([eE][+-]?[0-9]{1,2})?", text):
-        raise ValueError("a number from 0")
+        raise ValueError("a number not below 0")
     return float(text)
 
 
-def _span(text: str) -> int:
-    """Milliseconds in, tenths of one out."""
+def _milliseconds(text: str) -> int:
+    """Converts milliseconds to tenths of a millisecond."""
     value = _number(text)
-    if value > LONGEST:
-        raise ValueError(f"up to {LONGEST:g} ms")
+    if value > MAX_REPORT_MS:
+        raise ValueError(f"at most {MAX_REPORT_MS:g} ms")
     return round(value * 1000) // MICROS_PER_TENTH
 
 
-def _covered(text: str) -> int:
-    value = _span(text)
+def _positive_milliseconds(text: str) -> int:
+    value = _milliseconds(text)
     if not value:
-        raise ValueError("above 0")
+        raise ValueError("above 0 ms")
     return value
 
 
 def _name(text: str) -> str:
     if not text:
-        raise ValueError("a name")
+        raise ValueError("a name that is not empty")
     return text
 
 
-def _yes(text: str) -> bool:
+def _flag(text: str) -> bool:
     if text not in ("0", "1"):
         raise ValueError("0 or 1")
     return text == "1"
 
 
-def _load(text: str) -> Mapping[str, float]:
+def _load_values(text: str) -> Mapping[str, float]:
     pairs = [pair.partition(":") for pair in text.split(",") if pair]
     if len(pairs) > 16:
-        raise ValueError("up to 16 values")
+        raise ValueError("a list of at most 16 values")
     return {name: _number(value) for name, _, value in pairs}
 
 
-def load_report(body: bytes) -> Mapping[str, float]:
-    """The body of a probe's answer, `name=value` by commas; empty if it says nothing sure."""
+def parse_load_report(body: bytes) -> Mapping[str, float]:
+    """Parses the body of a probe's response, `name=value` separated by commas; empty if it is malformed."""
     try:
         pairs = [pair.partition("=") for pair in body.decode("ascii").strip().split(",") if pair]
         return {name: _number(value) for name, _, value in pairs[:16]}
@@ -149,19 +156,21 @@
         return {}
 
 
-MANY = _whole(10_000_000)  # tries in one report: a thousand times what a busy worker meets
-NUMBER = _whole(MARKS - 1)
-# Kind: the message, and for each of its fields the word's name, the reader, and the value when it is absent.
-KINDS: Mapping[bytes, tuple[Callable[..., Message], tuple[tuple[str, Callable[[str], Any], Any], ...]]] = {
+_try_count = _integer(10_000_000)  # per report: a thousand times what a busy worker handles
+_proxy_or_mark = _integer(MARK_MODULUS - 1)
+# For each kind its message class, and for each field its name on the wire, its reader and its default value.
+MESSAGE_FORMATS: Mapping[
+    bytes, tuple[Callable[..., Message], tuple[tuple[str, Callable[[str], Any], Any], ...]]
+] = {
     b"PING": (Ping, ()),
     b"SOURCE": (Source, (("zone", _name, attrs.NOTHING),)),
     b"SUBSCRIBE": (
         Subscribe,
         (
-            ("proxy", NUMBER, attrs.NOTHING),
+            ("proxy", _proxy_or_mark, attrs.NOTHING),
             ("zone", _name, attrs.NOTHING),
             ("weight", _number, attrs.NOTHING),
-            ("fresh", _yes, False),
+            ("fresh", _flag, False),
         ),
     ),
     b"LOAD": (
@@ -169,104 +178,104 @@
         (
             ("zone", _name, attrs.NOTHING),
             ("server", _name, attrs.NOTHING),
-            ("tries", MANY, attrs.NOTHING),
-            ("failed", MANY, attrs.NOTHING),
-            ("mean_ms", _span, attrs.NOTHING),
-            ("span_ms", _covered, attrs.NOTHING),
-            ("load", _load, {}),
+            ("tries", _try_count, attrs.NOTHING),
+            ("failed", _try_count, attrs.NOTHING),
+            ("mean_ms", _milliseconds, attrs.NOTHING),
+            ("span_ms", _positive_milliseconds, attrs.NOTHING),
+            ("load", _load_values, {}),
         ),
     ),
     b"RATE": (
         Rate,
         (
-            ("proxy", NUMBER, attrs.NOTHING),
+            ("proxy", _proxy_or_mark, attrs.NOTHING),
             ("class", _name, attrs.NOTHING),
-            ("tries", MANY, attrs.NOTHING),
-            ("failed", MANY, attrs.NOTHING),
-            ("span_ms", _covered, attrs.NOTHING),
+            ("tries", _try_count, attrs.NOTHING),
+            ("failed", _try_count, attrs.NOTHING),
+            ("span_ms", _positive_milliseconds, attrs.NOTHING),
         ),
     ),
     b"ACK": (
         Ack,
         (
-            ("proxy", NUMBER, attrs.NOTHING),
-            ("mark", NUMBER, attrs.NOTHING),
-            ("took_ms", _span, attrs.NOTHING),
+            ("proxy", _proxy_or_mark, attrs.NOTHING),
+            ("mark", _proxy_or_mark, attrs.NOTHING),
+            ("took_ms", _milliseconds, attrs.NOTHING),
         ),
     ),
 }
-# Kinds of the protocol that are a manager's to say; heard from others they are readable and of no use.
-OURS = frozenset({b"CONFIG", b"PONG", b"NACK"})
-LONGEST_KIND = max(map(len, (*KINDS, *OURS)))
-ODD = re.compile(rb"[^\x20-\x7e]")
+# Kinds that only a manager sends. Received by a manager, they are parsed and ignored.
+MANAGER_KINDS = frozenset({b"CONFIG", b"PONG", b"NACK"})
+MAX_KIND_BYTES = max(map(len, (*MESSAGE_FORMATS, *MANAGER_KINDS)))
+NON_PRINTABLE_BYTE = re.compile(rb"[^\x20-\x7e]")
 
 
-def read_line(line: bytes) -> Message:
-    """One line without its ending. Raises Unreadable if it has no known kind or isn't plain text."""
+def parse_line(line: bytes) -> Message:
+    """Parses one line without its ending. Raises ProtocolError if it isn't ASCII text of a known kind."""
     kind, *words = line.split(b" ")
-    if ODD.search(line):
-        raise Unreadable("bytes that are no text")
-    if kind in OURS:
-        return Spoilt(kind.decode(), "not for a manager")
-    if kind not in KINDS:
-        raise Unreadable("an unknown kind")
-    build, fields = KINDS[kind]
+    if NON_PRINTABLE_BYTE.search(line):
+        raise ProtocolError("bytes that are not printable ASCII")
+    if kind in MANAGER_KINDS:
+        return Malformed(kind.decode(), "only a manager sends this kind of message")
+    if kind not in MESSAGE_FORMATS:
+        raise ProtocolError("unknown kind of message")
+    build, fields = MESSAGE_FORMATS[kind]
     given = dict[str, str]()
     for word in filter(None, words):
         name, equals, value = word.decode().partition("=")
         if not equals or name in given:
-            return Spoilt(kind.decode(), "a word without a value, or twice")
+            return Malformed(kind.decode(), "a field without a value, or given twice")
         given[name] = value
-    found = []
-    for name, read, absent in fields:
+    values = []
+    for name, read, default in fields:
         try:
-            found.append(read(given[name]) if name in given else absent)
-        except ValueError as wanted:
-            return Spoilt(kind.decode(), f"{name} should be {wanted}")
-        if found[-1] is attrs.NOTHING:
-            return Spoilt(kind.decode(), f"{name} is missing")
-    message = build(*found)
-    # Of `RATE` this may be: what came in one span may fail in the next. Seen on a calm day, where all is
-    # good.
+            values.append(read(given[name]) if name in given else default)
+        except ValueError as allowed:
+            return Malformed(kind.decode(), f"{name} should be {allowed}")
+        if values[-1] is attrs.NOTHING:
+            return Malformed(kind.decode(), f"{name} is missing")
+    message = build(*values)
+    # `RATE` isn't checked: a txn that arrived in one span may fail in the next, so `failed` can exceed
+    # `tries` even on a day without faults.
     if isinstance(message, Load) and message.failed > message.tries:
-        return Spoilt(kind.decode(), "failed is above tries")
+        return Malformed(kind.decode(), "failed is above tries")
     return message
 
 
-class Reader:
-    """Bytes in pieces of any size to lines. Its only state is the unread rest.
+class LineReader:
+    """Splits a byte stream into lines. Its only state is the incomplete last line.
 
-    most: bytes of a line beyond which nothing more is read.
+    max_line_bytes: a longer line is a protocol error.
     """
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most, self._rest = most, b""
+    def __init__(self, max_line_bytes: int = MAX_MESSAGE_BYTES) -> None:
+        self.max_line_bytes, self._rest = max_line_bytes, b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The whole lines that `data` ends. Raises Unreadable when what is left can't become a line; the
-        lines before it are then in the exception's second argument."""
+        """Returns the lines that `data` completes. Raises ProtocolError if the remainder can't become a valid
+        line; the complete lines before it are the exception's second argument."""
         *lines, self._rest = (self._rest + data).split(b"\n")
-        found = [line.removesuffix(b"\r") for line in lines]
-        # A rest is judged before its end comes, as some never ends: by its length, its bytes and its kind.
+        complete = [line.removesuffix(b"\r") for line in lines]
+        # The incomplete line is checked at once, by length, bytes and kind: its end may never come.
         head = self._rest.removesuffix(b"\r")
-        kind = head[: LONGEST_KIND + 1].split(b" ")[0]
+        kind = head[: MAX_KIND_BYTES + 1].split(b" ")[0]
         known = any(
-            word.startswith(kind) if b" " not in head[: LONGEST_KIND + 1] else word == kind
-            for word in (*KINDS, *OURS)
+            word.startswith(kind) if b" " not in head[: MAX_KIND_BYTES + 1] else word == kind
+            for word in (*MESSAGE_FORMATS, *MANAGER_KINDS)
         )
-        if len(head) > self.most or ODD.search(head) or (head and not known):
-            raise Unreadable("a message that can't end well", found)
-        if any(len(line) > self.most for line in found):
-            raise Unreadable("a message that is too long", [])
-        return found
+        if len(head) > self.max_line_bytes or NON_PRINTABLE_BYTE.search(head) or (head and not known):
+            raise ProtocolError("an incomplete line that can't become a valid message", complete)
+        if any(len(line) > self.max_line_bytes for line in complete):
+            raise ProtocolError("a message that is too long", [])
+        return complete
 
 
-def figure(value: float) -> str:
-    """A number as the platform reads it: no exponent, no digits without meaning."""
+def format_number(value: float) -> str:
+    """Formats a number for the wire: no exponent, no trailing zeros."""
     return f"{value:.6f}".rstrip("0").rstrip(".")
 
 
-def config(
+def format_config(
     products: Sequence[str] = (),
     replace: bool = False,
     rows: Sequence[tuple[str, float]] = (),
@@ -275,16 +284,16 @@
     undrop: Sequence[str] = (),
     stamp: int | None = None,
 ) -> str:
-    """One part of an order, without its ending. `gate`: the level and the way of trying again."""
+    """Formats one `CONFIG` line without its ending. `gate`: the admission level and the retry mode."""
     words = ["CONFIG"]
     if products:
         words.append("for=" + "+".join(products))
     if replace:
         words.append("replace=1")
     if rows:
-        words.append("rows=" + ",".join(f"{name}:{figure(weight)}" for name, weight in rows))
+        words.append("rows=" + ",".join(f"{name}:{format_number(weight)}" for name, weight in rows))
     if gate is not None:
-        words.append(f"gate={figure(gate[0])} again={gate[1]}")
+        words.append(f"gate={format_number(gate[0])} again={gate[1]}")
     if drop:
         words.append("drop=" + ",".join(drop))
     if undrop:
@@ -294,9 +303,9 @@
     return " ".join(words)
 
 
-def whole(parts: Sequence[str]) -> bytes:
-    """The parts of one message, each but the last saying that another follows."""
+def join_parts(parts: Sequence[str]) -> bytes:
+    """Joins the parts of one message; each but the last says that another one follows."""
     return b"".join(
-        part.encode() + (b" part=1" if place < len(parts) else b"") + ENDING
-        for place, part in enumerate(parts, 1)
+        part.encode() + (b" part=1" if number < len(parts) else b"") + LINE_ENDING
+        for number, part in enumerate(parts, 1)
     )
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -1,8 +1,8 @@
-"""The module's host on the platform's road: its orders become one message for each stream and batch.
+"""The decision module's host on the platform: turns its orders into one message for each stream and batch.
 
-What the module orders goes out as it is. Each stream is owed what was ordered since it was last written; a
-stream that can't take more keeps what it is owed, where orders fall together, so that what waits is bounded
-by the tables and not by how often they changed. No I/O.
+Orders are sent as they are given. What was ordered since a stream was last written is pending for it. A
+stream that can't take more data keeps its pending orders, and a later order replaces an earlier one, so that
+memory is bounded by the size of the tables and not by the number of changes. No I/O.
 """
 
 from __future__ import annotations
@@ -16,267 +16,290 @@
 from rushladder.core.reminders import Reminders
 from rushladder.interface import Channel, Event, Joined, Left, Product, Proxy, Retry, Worker
 from rushladder.records import Gateway, Server
-from rushladder.streams.account import ChannelAccount, Purpose
-from rushladder.streams.codec import MARKS, PARTS, config, whole
+from rushladder.streams.channel_meter import ChannelMeter, Purpose
+from rushladder.streams.codec import MARK_MODULUS, MAX_MESSAGE_PARTS, format_config, join_parts
 
-# Beside the time over which messages to one proxy are counted: ours are stamped when they are written, the
-# platform's when their last byte has come, a quarter of a second later at most in every run so far.
-CAP_MARGIN = 2_500
-ROWS = 10_000  # lines in one part of a message: some 400 KB, under the protocol's limit
+# Added to the window of the message cap, in tenths of a millisecond: messages are timed here when they are
+# written, but by the platform when their last byte arrives, up to a quarter of a second later in every run so
+# far.
+CAP_MARGIN_TENTHS = 2_500
+MAX_ROWS_PER_PART = 10_000  # some 400 KB, below the protocol's limit for a message
 
 
 class Stream(Protocol):
-    """The way to one joined proxy."""
+    """The connection to one joined proxy."""
 
     def send(self, message: bytes) -> None: ...
 
     def abort(self) -> None: ...
 
 
-class Tbl:
-    """One shared table, and the streams bound to it."""
+class Table:
+    """One shared table, and the proxies bound to it."""
 
     def __init__(self) -> None:
-        self.lines, self.gates = dict[Server, float](), dict[Product, tuple[float, Retry]]()
-        self.ports = dict[Port, None]()
+        self.lines, self.levels = dict[Server, float](), dict[Product, tuple[float, Retry]]()
+        self.proxies = dict[JoinedProxy, None]()
 
 
-class Port:
-    """One joined proxy: the tables it is bound to, and what it is owed."""
+class JoinedProxy:
+    """One joined proxy: the tables it is bound to, and the orders that have not been written to it yet."""
 
     def __init__(self, gateway: Gateway, stream: Stream) -> None:
         self.gateway, self.stream, self.paused = gateway, stream, False
-        self.bound = dict[Product, Tbl]()
-        self.unanswered_marks = dict[int, None]()  # written and not yet answered
-        self.settle()
-
-    def settle(self) -> None:
-        """Nothing is owed."""
-        self.rebind, self.rows = dict[Tbl, None](), dict[Tbl, dict[Server, None]]()
-        self.gates, self.heed = dict[Tbl, dict[Product, None]](), dict[Server, None]()
-        self.mark: int | None = None
-
-    def owes(self) -> bool:
-        return bool(self.rebind or self.rows or self.gates or self.heed or self.mark is not None)
+        self.tables = dict[Product, Table]()
+        self.unanswered_marks = dict[int, None]()  # written and not yet acknowledged
+        self.clear_pending()
+
+    def clear_pending(self) -> None:
+        self.pending_bindings, self.pending_rows = dict[Table, None](), dict[Table, dict[Server, None]]()
+        self.pending_levels, self.pending_withdrawals = (
+            dict[Table, dict[Product, None]](),
+            dict[Server, None](),
+        )
+        self.pending_mark: int | None = None
+
+    def has_pending(self) -> bool:
+        return bool(
+            self.pending_bindings
+            or self.pending_rows
+            or self.pending_levels
+            or self.pending_withdrawals
+            or self.pending_mark is not None
+        )
 
 
 class StreamHost:
-    """One manager's module without its sockets. Times are the caller's clock in tenths of a millisecond.
+    """One manager's decision module without its sockets. Times: tenths of a millisecond on the caller's
+    clock.
 
-    described: the module's keyword arguments (`conf.startup_settings`); probe, tell: carry out these orders.
+    manager_args: the module's keyword arguments (`conf.startup_settings`). probe, send_to_peer: carry out
+    these orders.
     """
 
     def __init__(
         self,
         seed: int,
-        described: Mapping[str, Any],
+        manager_args: Mapping[str, Any],
         now: int,
         probe: Callable[[Server], None],
-        tell: Callable[[int | None, bytes], None],
+        send_to_peer: Callable[[int | None, bytes], None],
     ) -> None:
-        self._now, self._probe, self._tell = now, probe, tell
-        self._reminders, self._tables = Reminders(), dict[int, Tbl]()
-        self.products: Sequence[Product] = described["products"]
-        # Kept no longer than the module, a table or the list holds the server.
+        self._now, self._send_probe, self._send_to_peer = now, probe, send_to_peer
+        self._reminders, self._tables = Reminders(), dict[int, Table]()
+        self.products: Sequence[Product] = manager_args["products"]
+        # Weak: an entry goes when the module, the tables and the list have all dropped the server.
         self._withdrawn, self._released = WeakSet[Server](), WeakSet[Server]()
-        self._all: dict[Product, tuple[float, Retry]] = {}
-        self.joined_proxies, self._touched = dict[int, Port](), dict[Port, None]()
+        self._global_levels: dict[Product, tuple[float, Retry]] = {}
+        self.joined_proxies, self._to_write = dict[int, JoinedProxy](), dict[JoinedProxy, None]()
         self._gateways = dict[int, Gateway]()
-        self._probes, self._words = list[Server](), list[tuple[int | None, bytes]]()
-        self.lines = self.messages = 0  # written, as the protocol counts them
-        # When each proxy was last written, as often as the cap allows; and who waits for its turn until when.
-        channel: Channel = described["channel"]
-        self.account = ChannelAccount(channel.lines_per_s, channel.head)
-        self._cap, self._span = channel.message_cap, channel.cap_span + CAP_MARGIN
-        self._written, self._held = dict[int, deque[int]](), dict[Port, int]()
-        self._texts = dict[Any, str]()  # parts of this batch's messages: most go to all streams of a table
-        self.manager = Manager(self, seed, **described)
-
-    # What comes in.
+        self._queued_probes, self._peer_messages = list[Server](), list[tuple[int | None, bytes]]()
+        self.lines = self.messages = 0  # written in total, as the protocol counts them
+        # The last write times of each proxy, as many as the message cap; and the proxies that wait for the
+        # cap, each with the time when it may be written.
+        channel: Channel = manager_args["channel"]
+        self.channel_meter = ChannelMeter(channel.lines_per_s, channel.head)
+        self._message_cap, self._cap_window = channel.message_cap, channel.cap_span + CAP_MARGIN_TENTHS
+        self._write_times, self._delayed_until = dict[int, deque[int]](), dict[JoinedProxy, int]()
+        self._part_cache = dict[Any, str]()  # per batch, as most parts go to all streams of a table
+        self.manager = Manager(self, seed, **manager_args)
+
+    # Events.
 
     def process_batch(self, now: int, events: Collection[Event] = ()) -> None:
-        """One batch: whatever reminders are due, then the events; and what was ordered goes out.
+        """Handles one batch: the reminders that are due, then the events. Then sends what was ordered.
 
-        A fault of the module in one event must not lose the others, a joining or a drain among them: it is
-        raised once the batch is done.
+        An exception of the module in one event must not lose the other events, such as a joining or a drain:
+        it is raised at the end of the batch.
         """
         self._now = max(now, self._now)
-        faults = list[Exception]()
-        # None: the batch's end.
+        errors = list[Exception]()
+        # None stands for the end of the batch.
         for event in (*self._reminders.due(self._now), *events, None):
             try:
                 if event is not None:
                     self.manager.take(event)
                 else:
                     self.manager.close()
-            except Exception as fault:
-                faults.append(fault)
-        touched, self._touched = self._touched, {}
-        for port in [port for port, due in self._held.items() if due <= self._now]:
-            del self._held[port]
-            touched[port] = None
-        self._texts.clear()  # what a stream that went on meanwhile was written is of the tables before
-        for port in touched:
-            self.write(port)
-        self._texts.clear()
-        probes, self._probes = self._probes, []
+            except Exception as error:
+                errors.append(error)
+        to_write, self._to_write = self._to_write, {}
+        for joined in [joined for joined, due in self._delayed_until.items() if due <= self._now]:
+            del self._delayed_until[joined]
+            to_write[joined] = None
+        self._part_cache.clear()  # streams that resumed since the last batch filled it from older tables
+        for joined in to_write:
+            self.write(joined)
+        self._part_cache.clear()
+        probes, self._queued_probes = self._queued_probes, []
         for server in probes:
-            self._probe(server)
-        words, self._words = self._words, []
-        for word in words:
-            self._tell(*word)
-        if faults:
-            raise faults[0]
-
-    def next(self) -> int | None:
-        """When the module wants to be woken, or a stream that waits may be written."""
+            self._send_probe(server)
+        messages, self._peer_messages = self._peer_messages, []
+        for message in messages:
+            self._send_to_peer(*message)
+        if errors:
+            raise errors[0]
+
+    def next_wakeup(self) -> int | None:
+        """When the next reminder is due or the next delayed stream may be written; None if neither."""
         due = self._reminders.next()
-        return min(self._held.values(), default=due) if due is None else min((due, *self._held.values()))
+        return (
+            min(self._delayed_until.values(), default=due)
+            if due is None
+            else min((due, *self._delayed_until.values()))
+        )
 
     def join(self, number: int, zone: str, weight: float, fresh: bool, stream: Stream) -> list[Event]:
-        """A proxy's stream, in place of any older one, and the events for the next batch."""
+        """Adds a proxy's stream in place of any older one; returns the events for the next batch."""
         events, gateway = list[Event](), self._gateways.get(number)
-        if (older := self._unbind(number)) is not None:
+        if (older := self._remove(number)) is not None:
             events.append(Left(older.gateway))
             older.stream.abort()
         if gateway is None or gateway.zone != zone:
             gateway = self._gateways[number] = Gateway(str(number), zone, weight)
         gateway.usual_rate = weight
-        self.joined_proxies[number] = Port(gateway, stream)
+        self.joined_proxies[number] = JoinedProxy(gateway, stream)
         return [*events, Joined(gateway, fresh, keeps=not fresh)]
 
     def leave(self, number: int, stream: Stream) -> Left[Gateway] | None:
-        """The stream has ended: the event for the next batch, if it was still the proxy's."""
-        port = self.joined_proxies.get(number)
-        if port is None or port.stream is not stream:
+        """Removes a stream that has ended; returns the event for the next batch, or None if it was
+        replaced."""
+        joined = self.joined_proxies.get(number)
+        if joined is None or joined.stream is not stream:
             return None
-        self._unbind(number)
-        return Left(port.gateway)
-
-    def _unbind(self, number: int) -> Port | None:
-        port = self.joined_proxies.pop(number, None)
-        if port is not None:
-            self._touched.pop(port, None)
-            self._held.pop(port, None)
-            for table in set(port.bound.values()):
-                del table.ports[port]
-        return port
-
-    # What goes out.
-
-    def write(self, port: Port) -> None:
-        """The message that the stream is owed, unless it can't take more now."""
-        if port.paused or not port.owes() or self._waits(port):
+        self._remove(number)
+        return Left(joined.gateway)
+
+    def _remove(self, number: int) -> JoinedProxy | None:
+        joined = self.joined_proxies.pop(number, None)
+        if joined is not None:
+            self._to_write.pop(joined, None)
+            self._delayed_until.pop(joined, None)
+            for table in set(joined.tables.values()):
+                del table.proxies[joined]
+        return joined
+
+    # Messages to the proxies.
+
+    def write(self, joined: JoinedProxy) -> None:
+        """Writes the pending orders, unless the stream can't take more data now or the cap delays them."""
+        if joined.paused or not joined.has_pending() or self._delayed_by_cap(joined):
             return
-        message = self._message(port)
-        if port.mark is not None:
-            port.unanswered_marks[port.mark] = None
-        port.settle()
+        message = self._format_message(joined)
+        if joined.pending_mark is not None:
+            joined.unanswered_marks[joined.pending_mark] = None
+        joined.clear_pending()
         if message:
             self.messages += 1
-            port.stream.send(message)
+            joined.stream.send(message)
 
-    def _waits(self, port: Port) -> bool:
-        """Whether the proxy was written as often as the cap allows. The module's beat leaves room for two
-        joinings beside it; a stream that breaks and comes again thrice within the time would pass the cap
-        (rule 5). What it is owed meanwhile falls together."""
-        if not self._cap:
+    def _delayed_by_cap(self, joined: JoinedProxy) -> bool:
+        """Whether the proxy has been sent as many messages as the cap allows; if not, counts one more.
+
+        The module's control period leaves room for two joinings within the window. A stream that breaks and
+        reconnects three times would exceed the cap (rule 5), so its orders stay pending until the window
+        allows another message.
+        """
+        if not self._message_cap:
             return False
-        written = self._written.setdefault(int(port.gateway.name), deque(maxlen=self._cap))
-        if len(written) == self._cap and (due := written[0] + self._span) > self._now:
-            self._held[port] = due
+        times = self._write_times.setdefault(int(joined.gateway.name), deque(maxlen=self._message_cap))
+        if len(times) == self._message_cap and (due := times[0] + self._cap_window) > self._now:
+            self._delayed_until[joined] = due
             return True
-        written.append(self._now)
+        times.append(self._now)
         return False
 
-    def _message(self, port: Port) -> bytes:
-        drop = sorted(server.name for server in port.heed if server in self._withdrawn)
-        undrop = sorted(server.name for server in port.heed if server not in self._withdrawn)
-        parts = [config(drop=drop, undrop=undrop)] if drop or undrop else []
+    def _format_message(self, joined: JoinedProxy) -> bytes:
+        drop = sorted(server.name for server in joined.pending_withdrawals if server in self._withdrawn)
+        undrop = sorted(server.name for server in joined.pending_withdrawals if server not in self._withdrawn)
+        parts = [format_config(drop=drop, undrop=undrop)] if drop or undrop else []
         written = {
             Purpose.WITHDRAWAL: len(drop) + len(undrop),
-            Purpose.MARK: int(port.mark is not None),
+            Purpose.MARK: int(joined.pending_mark is not None),
             Purpose.BINDING: 0,
             Purpose.WEIGHT: 0,
             Purpose.LEVEL: 0,
         }
-        for table in dict.fromkeys((*port.rebind, *port.rows, *port.gates)):
-            products = [product for product in self.products if port.bound.get(product) is table]
-            names, anew = [product.name for product in products], table in port.rebind
-            servers = table.lines if anew else port.rows.get(table, {})
+        for table in dict.fromkeys((*joined.pending_bindings, *joined.pending_rows, *joined.pending_levels)):
+            products = [product for product in self.products if joined.tables.get(product) is table]
+            names, whole = [product.name for product in products], table in joined.pending_bindings
+            servers = table.lines if whole else joined.pending_rows.get(table, {})
             rows = list(servers)
             levels = dict[tuple[float, int], list[Product]]()
             for product in products:
-                level = self._level(table, product)
-                if level is not None and (anew or product in port.gates.get(table, {})):
+                level = self._effective_level(table, product)
+                if level is not None and (whole or product in joined.pending_levels.get(table, {})):
                     levels.setdefault(level, []).append(product)
-            # A level for all of the table's products rides on its lines; others need a part of their own.
-            own = next((level for level, some in levels.items() if some == products), None)
-            for place in range(0, len(rows) or 1, ROWS):
-                if anew or rows or own:
+            # A level that holds for all of the table's products goes into the same part as its rows; other
+            # levels need a part each.
+            shared = next((level for level, of_level in levels.items() if of_level == products), None)
+            for first in range(0, len(rows) or 1, MAX_ROWS_PER_PART):
+                if whole or rows or shared:
                     parts.append(
-                        self._text(
+                        self._format_part(
                             table,
                             names,
-                            anew and not place,
-                            rows[place : place + ROWS],
-                            own if not place else None,
+                            whole and not first,
+                            rows[first : first + MAX_ROWS_PER_PART],
+                            shared if not first else None,
                         )
                     )
             parts += [
-                config([product.name for product in some], gate=level)
-                for level, some in levels.items()
-                if level != own
+                format_config([product.name for product in of_level], gate=level)
+                for level, of_level in levels.items()
+                if level != shared
             ]
-            written[Purpose.BINDING if anew else Purpose.WEIGHT] += anew + len(rows)
-            written[Purpose.BINDING if anew else Purpose.LEVEL] += len(levels)
-        assert len(parts) <= PARTS
-        if port.mark is not None:
-            parts = [*parts[:-1], (parts[-1] if parts else config()) + f" stamp={port.mark}"]
+            written[Purpose.BINDING if whole else Purpose.WEIGHT] += whole + len(rows)
+            written[Purpose.BINDING if whole else Purpose.LEVEL] += len(levels)
+        assert len(parts) <= MAX_MESSAGE_PARTS
+        if joined.pending_mark is not None:
+            parts = [*parts[:-1], (parts[-1] if parts else format_config()) + f" stamp={joined.pending_mark}"]
         self.lines += sum(written.values())
         if parts:
-            self.account.written(self._now, written)
-        return whole(parts)
+            self.channel_meter.message_written(self._now, written)
+        return join_parts(parts)
 
-    def _text(
+    def _format_part(
         self,
-        table: Tbl,
+        table: Table,
         names: Sequence[str],
-        anew: bool,
+        whole: bool,
         servers: Sequence[Server],
         gate: tuple[float, int] | None,
     ) -> str:
-        """One part of a message, worked out once for all streams that are owed the same."""
-        key = table, tuple(names), anew, tuple(servers), gate
-        if key not in self._texts:
+        """One part of a message, formatted once for all streams to which it goes."""
+        key = table, tuple(names), whole, tuple(servers), gate
+        if key not in self._part_cache:
             rows = [(server.name, table.lines.get(server, 0.0)) for server in servers]
-            self._texts[key] = config(names, anew, rows, gate)
-        return self._texts[key]
-
-    def _level(self, table: Tbl, product: Product) -> tuple[float, int] | None:
-        """The table's level and that for all: the lower counts, with the table's own way of trying again."""
-        own, every = table.gates.get(product), self._all.get(product)
-        if own is None or every is None:
-            either = own or every
+            self._part_cache[key] = format_config(names, whole, rows, gate)
+        return self._part_cache[key]
+
+    def _effective_level(self, table: Table, product: Product) -> tuple[float, int] | None:
+        """The lower of the table's level and the global one, with the retry mode of the table if it has
+        one."""
+        own, common = table.levels.get(product), self._global_levels.get(product)
+        if own is None or common is None:
+            either = own or common
             return (either[0], int(either[1])) if either else None
-        return min(own[0], every[0]), int(own[1])
+        return min(own[0], common[0]), int(own[1])
 
-    def acknowledge(self, port: Port, mark: int) -> bool:
-        """Whether the mark was written to this stream and not yet answered."""
-        if mark not in port.unanswered_marks:
+    def acknowledge(self, joined: JoinedProxy, mark: int) -> bool:
+        """Whether the mark was written to this stream and is unanswered; if so, it and all earlier ones count
+        as answered."""
+        if mark not in joined.unanswered_marks:
             return False
-        while next(iter(port.unanswered_marks)) != mark:
-            del port.unanswered_marks[next(iter(port.unanswered_marks))]
-        del port.unanswered_marks[mark]
+        while next(iter(joined.unanswered_marks)) != mark:
+            del joined.unanswered_marks[next(iter(joined.unanswered_marks))]
+        del joined.unanswered_marks[mark]
         return True
 
-    # The module's `Host`.
+    # The decision module's `Host` interface.
 
     def now(self) -> int:
         return self._now
 
-    def _table(self, number: int) -> Tbl:
-        return self._tables.setdefault(number, Tbl())
+    def _table(self, number: int) -> Table:
+        return self._tables.setdefault(number, Table())
 
     def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
@@ -286,39 +309,39 @@
             table.lines[worker] = weight
         else:
             table.lines.pop(worker, None)
-        for port in table.ports:
-            self._touched[port] = None
-            port.rows.setdefault(table, {})[worker] = None
-            # A proxy keeps a withdrawal over a change of streams and tables: a line that comes, or comes
-            # back, brings what stands, or the line would stay shut out (or be used) against the module's
-            # word.
+        for joined in table.proxies:
+            self._to_write[joined] = None
+            joined.pending_rows.setdefault(table, {})[worker] = None
+            # A proxy keeps a withdrawal across streams and tables. A line that is added therefore repeats the
+            # worker's current state; otherwise the proxy could keep a worker out that was let back, or use
+            # one that is withdrawn.
             if new and weight > 0 and (worker in self._withdrawn or worker in self._released):
-                port.heed[worker] = None
+                joined.pending_withdrawals[worker] = None
 
     def empty(self, tbl: int) -> None:
         table = self._table(tbl)
         table.lines.clear()
-        table.gates.clear()
-        for port in table.ports:
-            self._touched[port] = None
-            port.rebind[table] = None
+        table.levels.clear()
+        for joined in table.proxies:
+            self._to_write[joined] = None
+            joined.pending_bindings[table] = None
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
-        port, table = self.joined_proxies.get(int(proxy.name)), self._table(tbl)
-        if port is None or port.gateway is not proxy:
+        joined, table = self.joined_proxies.get(int(proxy.name)), self._table(tbl)
+        if joined is None or joined.gateway is not proxy:
             return
-        self._touched[port] = None
+        self._to_write[joined] = None
         for product in products or self.products:
-            before = port.bound.get(product)
-            port.bound[product] = table
-            if before is not None and before is not table and before not in port.bound.values():
-                del before.ports[port]
-                for owed in (port.rebind, port.rows, port.gates):
-                    owed.pop(before, None)
-        table.ports[port] = port.rebind[table] = None
+            before = joined.tables.get(product)
+            joined.tables[product] = table
+            if before is not None and before is not table and before not in joined.tables.values():
+                del before.proxies[joined]
+                for pending in (joined.pending_bindings, joined.pending_rows, joined.pending_levels):
+                    pending.pop(before, None)
+        table.proxies[joined] = joined.pending_bindings[table] = None
         for server in table.lines:
             if server in self._withdrawn or server in self._released:
-                port.heed[server] = None
+                joined.pending_withdrawals[server] = None
 
     def hold_back(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
@@ -326,49 +349,50 @@
         if not out:
             self._released.add(worker)
         for table in self._tables.values():
-            for port in table.ports if worker in table.lines else ():
-                self._touched[port] = None
-                port.heed[worker] = None
+            for joined in table.proxies if worker in table.lines else ():
+                self._to_write[joined] = None
+                joined.pending_withdrawals[worker] = None
 
     def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
-        port = self.joined_proxies.get(int(proxy.name))
-        if port is not None and port.gateway is proxy:
-            self._touched[port] = None
+        joined = self.joined_proxies.get(int(proxy.name))
+        if joined is not None and joined.gateway is proxy:
+            self._to_write[joined] = None
             for worker in workers:
                 assert isinstance(worker, Server)
-                port.heed[worker] = None
+                joined.pending_withdrawals[worker] = None
 
     def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for product in products or self.products:
             if tbl is None:
-                self._all[product] = level, retry
+                self._global_levels[product] = level, retry
             else:
-                self._table(tbl).gates[product] = level, retry
+                self._table(tbl).levels[product] = level, retry
             for table in self._tables.values() if tbl is None else (self._table(tbl),):
-                for port in table.ports:
-                    self._touched[port] = None
-                    port.gates.setdefault(table, {})[product] = None
+                for joined in table.proxies:
+                    self._to_write[joined] = None
+                    joined.pending_levels.setdefault(table, {})[product] = None
 
     def checkpoint(self, number: int, everyone: bool) -> None:
-        for port in self.joined_proxies.values() if everyone else self._touched:
-            self._touched[port] = None
-            port.mark = number % MARKS
+        for joined in self.joined_proxies.values() if everyone else self._to_write:
+            self._to_write[joined] = None
+            joined.pending_mark = number % MARK_MODULUS
 
     def probe(self, worker: Worker) -> None:
         assert isinstance(worker, Server)
-        self._probes.append(worker)
+        self._queued_probes.append(worker)
 
     def tell(self, peer: int | None, data: bytes) -> None:
-        self._words.append((peer, data))
+        self._peer_messages.append((peer, data))
 
     def watch(self, on: bool) -> None:
-        """The agent on the manager's own machine is always watched: every change comes by itself."""
+        """Does nothing: the discovery agent on the manager's own machine is always watched, so that changes
+        arrive without a request."""
 
     def ask_list(self) -> None:
-        """As for `watch`."""
+        """Does nothing, as for `watch`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
 
     def log(self, words: str) -> None:
-        """The module's own words are for the simulator's report."""
+        """Does nothing: the module's log lines are meant for the simulator's report."""
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,5 +1,5 @@
-"""What comes between two lines: a manager as `run` starts it, on loopback sockets, in orders that each story
-forces."""
+"""Tests of race conditions: a manager process as the deploy file's `run` command starts it, on loopback
+sockets, with events in an order that each test forces."""
 
 import json
 import os
@@ -22,14 +22,14 @@
 from rushladder.standins.platform import HEAD, chunk, configuration, entry, listing
 
 ROOT = Path(__file__).parent.parent
-WAIT = 20.0  # s that anything may take on a busy machine
+TIMEOUT_SECONDS = 20.0  # for any step, on a busy machine
 
 
-class Wire:
-    """One connection, read line by line with a limit."""
+class LineConnection:
+    """One connection that is read line by line, with a timeout."""
 
     def __init__(self, sock: socket.socket) -> None:
-        sock.settimeout(WAIT)
+        sock.settimeout(TIMEOUT_SECONDS)
         self.sock, self._rest = sock, b""
 
     def send(self, data: bytes) -> None:
@@ -49,25 +49,25 @@
         return line.decode()
 
     def until(self, word: str) -> str:
-        """The first line that holds the word; marks are answered on the way."""
+        """Returns the first line that contains the word; acknowledges the marks of the lines up to it."""
         while (line := self.line()) is not None:
             if "stamp=" in line and line.startswith("CONFIG"):
-                self.answer(line)
+                self.acknowledge(line)
             if word in line:
                 return line
         raise AssertionError(f"the connection ended without {word}")
 
-    def answer(self, line: str) -> None:
+    def acknowledge(self, line: str) -> None:
         mark = line.partition("stamp=")[2].split(" ")[0]
         self.send(f"ACK proxy={self.proxy} mark={mark} took_ms=1\r\n".encode())
 
-    def join(self, proxy: int, fresh: int = 1) -> "Wire":
+    def join(self, proxy: int, fresh: int = 1) -> "LineConnection":
         self.proxy = proxy
         self.send(f"SUBSCRIBE proxy={proxy} zone=a weight=9 fresh={fresh}\r\n".encode())
         return self
 
     def ended(self) -> bool:
-        """Whether the other side ends it in time."""
+        """Reads to the end of the connection; fails if the other side doesn't close it in time."""
         while self.line() is not None:
             pass
         return True
@@ -75,60 +75,60 @@
     def quiet(self, seconds: float) -> bool:
         return not select.select([self.sock], [], [], seconds)[0]
 
-    # Discovery's side.
+    # For connections to discovery.
 
-    def watched(self) -> str:
-        """The index asked for."""
-        asked = self.until("GET")
+    def watch_index(self) -> str:
+        """Reads the request of a watch; returns the index that it asks for."""
+        request = self.until("GET")
         while self.line():
             pass
-        return asked.split("index=")[1].split(" ")[0]
+        return request.split("index=")[1].split(" ")[0]
 
     def chunk(self, data: bytes) -> None:
         self.send(chunk(data))
 
 
-class Place:
-    """A listener whose connections the story takes one by one."""
+class ManualListener:
+    """A listening socket whose connections the test accepts one by one."""
 
-    def __init__(self, story: unittest.TestCase) -> None:
+    def __init__(self, test: unittest.TestCase) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
-        self.sock.settimeout(WAIT)
+        self.sock.settimeout(TIMEOUT_SECONDS)
         self.port: int = self.sock.getsockname()[1]
-        story.addCleanup(self.sock.close)
-        self._story = story
+        test.addCleanup(self.sock.close)
+        self._test = test
 
-    def take(self) -> Wire:
+    def accept(self) -> LineConnection:
         sock, _ = self.sock.accept()
-        self._story.addCleanup(sock.close)
-        return Wire(sock)
+        self._test.addCleanup(sock.close)
+        return LineConnection(sock)
 
-    def unasked(self, seconds: float) -> bool:
+    def no_connection(self, seconds: float) -> bool:
         return not select.select([self.sock], [], [], seconds)[0]
 
 
 class Manager:
-    """The process, its configuration and its log."""
+    """A manager process with its configuration file and its log."""
 
     def __init__(
         self,
-        story: unittest.TestCase,
-        discovery: Place,
+        test: unittest.TestCase,
+        discovery: ManualListener,
         *workers: dict[str, Any],
         probes: bool = False,
-        **more: Any,
+        **fields: Any,
     ) -> None:
-        held = tempfile.TemporaryDirectory(prefix="rl")
-        story.addCleanup(held.cleanup)
-        self.story, self.file, self._log = story, Path(held.name, "config.json"), list[str]()
+        directory = tempfile.TemporaryDirectory(prefix="rl")
+        test.addCleanup(directory.cleanup)
+        self.test, self.file, self._log = test, Path(directory.name, "config.json"), list[str]()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.port = free.getsockname()[1]
-        self.config = configuration(self.port, discovery.port, workers) | more
+        self.config = configuration(self.port, discovery.port, workers) | fields
         self.config["settings"]["limits"]["probes"] = probes
 
-    def write(self, **more: Any) -> None:
-        self.config |= more
+    def write(self, **fields: Any) -> None:
+        self.config |= fields
         self.file.write_text(json.dumps(self.config))
 
     def start(self, before: Callable[[], None] | None = None, run: str = "") -> "Manager":
@@ -145,7 +145,7 @@
         self._log, self._heard = list[str](), threading.Condition()
         self._reader = threading.Thread(target=self._read, args=(self.process, self._log), daemon=True)
         self._reader.start()
-        self.story.addCleanup(self._reap, self.process, self._reader)
+        self.test.addCleanup(self._reap, self.process, self._reader)
         return self
 
     def _read(self, process: subprocess.Popen[str], log: list[str]) -> None:
@@ -163,96 +163,101 @@
         process.stderr.close()
 
     def logged(self, word: str) -> str:
-        """Waits for a line of the log."""
+        """Waits for a log line that contains the word, and returns it."""
         with self._heard:
-            self._heard.wait_for(lambda: any(word in line for line in self._log), WAIT)
+            self._heard.wait_for(lambda: any(word in line for line in self._log), TIMEOUT_SECONDS)
             found = [line for line in self._log if word in line]
-        self.story.assertTrue(found, f"{word} not in {self._log}")
+        self.test.assertTrue(found, f"{word} not in {self._log}")
         return found[0]
 
-    def serves(self) -> "Manager":
+    def start_and_wait(self) -> "Manager":
         self.write()
         self.start().logged("node.serves")
         return self
 
-    def dial(self) -> Wire:
-        sock = socket.create_connection(("127.0.0.1", self.port), WAIT)
-        self.story.addCleanup(sock.close)
-        return Wire(sock)
+    def connect(self) -> LineConnection:
+        sock = socket.create_connection(("127.0.0.1", self.port), TIMEOUT_SECONDS)
+        self.test.addCleanup(sock.close)
+        return LineConnection(sock)
 
     def signal(self, *numbers: signal.Signals) -> None:
         for number in numbers:
             self.process.send_signal(number)
 
-    def ends(self) -> None:
-        """With 0, and nothing in the log that speaks of a fault."""
-        self.story.assertEqual(self.process.wait(WAIT), 0)
+    def assert_clean_exit(self) -> None:
+        """Checks that the process exits with 0 and has logged neither a traceback nor an error."""
+        self.test.assertEqual(self.process.wait(TIMEOUT_SECONDS), 0)
         self._reader.join()
-        self.story.assertNotIn("Traceback", "".join(self._log))
-        self.story.assertNotIn('"error"', "".join(self._log))
+        self.test.assertNotIn("Traceback", "".join(self._log))
+        self.test.assertNotIn('"error"', "".join(self._log))
 
 
-class Races(unittest.TestCase):
+class RaceTestCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.discovery = Place(self)
-
-    def manager(self, *workers: dict[str, Any], **more: Any) -> Manager:
-        return Manager(self, self.discovery, *(workers or map(entry, ("s-0", "s-1", "s-2", "s-3"))), **more)
-
-    def watching(self, *workers: dict[str, Any], **more: Any) -> tuple[Manager, Wire, Wire]:
-        """A manager, its watch with its head answered, and proxy 3 with its first table."""
-        manager = self.manager(*workers, **more).serves()
-        watch = self.discovery.take()
-        self.assertEqual(watch.watched(), "41")
+        self.discovery = ManualListener(self)
+
+    def manager(self, *workers: dict[str, Any], **fields: Any) -> Manager:
+        return Manager(self, self.discovery, *(workers or map(entry, ("s-0", "s-1", "s-2", "s-3"))), **fields)
+
+    def start_manager(
+        self, *workers: dict[str, Any], **fields: Any
+    ) -> tuple[Manager, LineConnection, LineConnection]:
+        """Starts a manager; returns it, its watch after the response's head, and proxy 3 after its first
+        table."""
+        manager = self.manager(*workers, **fields).start_and_wait()
+        watch = self.discovery.accept()
+        self.assertEqual(watch.watch_index(), "41")
         watch.send(HEAD)
-        proxy = manager.dial().join(3)
+        proxy = manager.connect().join(3)
         proxy.until("rows=")
         return manager, watch, proxy
 
-    def fifo(self, manager: Manager) -> Any:
-        """The process in the middle of reading its configuration: the other end of the file."""
+    def start_with_fifo(self, manager: Manager) -> Any:
+        """Starts a process that blocks while it reads its configuration; returns the writing end of the
+        file."""
         os.mkfifo(manager.file)
         manager.start()
-        return os.open(manager.file, os.O_WRONLY)  # comes back when the process has opened it
+        return os.open(manager.file, os.O_WRONLY)  # returns when the process has opened the file
 
 
-class Shutdown(Races):
-    def test_sigterm_in_the_middle_of_the_start(self) -> None:
+class ShutdownTests(RaceTestCase):
+    def test_sigterm_during_the_start(self) -> None:
         manager = self.manager()
-        end = self.fifo(manager)
+        end = self.start_with_fifo(manager)
         manager.signal(signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
         os.close(end)
 
-    def test_sighup_in_the_middle_of_the_start_is_carried_out_after_it(self) -> None:
-        manager, later = self.manager(), Place(self)
-        end = self.fifo(manager)
+    def test_sighup_during_the_start_is_handled_after_it(self) -> None:
+        manager, later = self.manager(), ManualListener(self)
+        end = self.start_with_fifo(manager)
         manager.signal(signal.SIGHUP)
         first = json.dumps(manager.config)
         manager.file.unlink()
         manager.write(discovery=f"127.0.0.1:{later.port}")
         os.write(end, first.encode())
         os.close(end)
-        self.assertEqual(later.take().watched(), "41")
+        self.assertEqual(later.accept().watch_index(), "41")
         manager.signal(signal.SIGTERM)
-        manager.ends()
-
-    def test_sigterm_twice_with_a_probe_a_watch_a_stranger_and_unread_orders(self) -> None:
-        worker = Place(self)
-        manager, watch, _ = self.watching(entry("s-0", worker.port), probes=True)
-        worker.take()  # a probe that nobody answers
-        manager.dial().send(b"PIN")
-        watch.send(b'5\r\n{"v')  # a line that has no end
+        manager.assert_clean_exit()
+
+    def test_sigterm_twice_with_a_probe_a_watch_an_unidentified_client_and_unread_orders(self) -> None:
+        worker = ManualListener(self)
+        manager, watch, _ = self.start_manager(entry("s-0", worker.port), probes=True)
+        worker.accept()  # a probe that is not answered
+        manager.connect().send(b"PIN")
+        watch.send(b'5\r\n{"v')  # an incomplete line
         manager.signal(signal.SIGTERM, signal.SIGTERM, signal.SIGINT)
-        manager.ends()
+        manager.assert_clean_exit()
 
-    def test_sigterm_again_while_the_interpreter_ends(self) -> None:
-        """Found by the soak (seed 2, "term term"): the log ends with `node.ended`, and the process by the
-        signal in place of exit 0, as the interpreter takes its handlers back before it is gone. What is
-        destroyed last of all sends the second signal here, which is after that."""
+    def test_second_sigterm_while_the_interpreter_exits(self) -> None:
+        """Guards against a process that logs `node.ended` but is then killed by a second SIGTERM instead of
+        exiting with 0, as the interpreter restores the default signal handlers while it exits. The soak found
+        it (seed 2, "term term"). Here an object that is destroyed at the very end of the exit sends the
+        second signal."""
         manager = self.manager()
         manager.write()
-        late = (
+        script = (
             "import os, signal, sys\n"
             "class Late:\n"
             "    def __del__(self, kill=os.kill, me=os.getpid(), number=signal.SIGTERM):\n"
@@ -261,182 +266,185 @@
             "from rushladder.service.node import main\n"
             "sys.exit(main())\n"
         )
-        manager.start(run=f"exec {shlex.join([sys.executable, '-c', late])}").logged("node.serves")
+        manager.start(run=f"exec {shlex.join([sys.executable, '-c', script])}").logged("node.serves")
         manager.signal(signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
 
     def test_sighup_right_before_sigterm(self) -> None:
-        manager, _, _ = self.watching()
-        manager.write(discovery=f"127.0.0.1:{Place(self).port}")
+        manager, _, _ = self.start_manager()
+        manager.write(discovery=f"127.0.0.1:{ManualListener(self).port}")
         manager.signal(signal.SIGHUP, signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
 
-    def test_sigterm_under_joinings(self) -> None:
-        manager, _, _ = self.watching()
+    def test_sigterm_while_proxies_join(self) -> None:
+        manager, _, _ = self.start_manager()
         for proxy in range(4, 12):
-            manager.dial().join(proxy)
+            manager.connect().join(proxy)
         manager.signal(signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
 
-    def test_killed_under_joinings_and_started_again_at_once(self) -> None:
-        manager, _, proxy = self.watching()
-        wires = [manager.dial().join(proxy) for proxy in range(4, 12)]
+    def test_killed_while_proxies_join_and_restarted_at_once(self) -> None:
+        manager, _, proxy = self.start_manager()
+        connections = [manager.connect().join(proxy) for proxy in range(4, 12)]
         manager.signal(signal.SIGKILL)
-        manager.process.wait(WAIT)
-        self.assertTrue(proxy.ended() and all(wire.ended() for wire in wires))
-        manager.start().logged("node.serves")  # its place is free again though old connections linger
-        self.assertEqual(self.discovery.take().watched(), "41")
-        for place, wire in enumerate([manager.dial().join(proxy, fresh=0) for proxy in range(3, 12)]):
-            self.assertIn("rows=", wire.until("replace=1"), place)
-
-    def test_killed_in_the_middle_of_the_start_and_started_again(self) -> None:
+        manager.process.wait(TIMEOUT_SECONDS)
+        self.assertTrue(proxy.ended() and all(connection.ended() for connection in connections))
+        manager.start().logged("node.serves")  # its address is free again while old connections linger
+        self.assertEqual(self.discovery.accept().watch_index(), "41")
+        for index, connection in enumerate(
+            [manager.connect().join(proxy, fresh=0) for proxy in range(3, 12)]
+        ):
+            self.assertIn("rows=", connection.until("replace=1"), index)
+
+    def test_killed_during_the_start_and_restarted(self) -> None:
         manager = self.manager()
-        end = self.fifo(manager)
+        end = self.start_with_fifo(manager)
         manager.signal(signal.SIGKILL)
-        manager.process.wait(WAIT)
+        manager.process.wait(TIMEOUT_SECONDS)
         os.close(end)
         manager.file.unlink()
         manager.write()
         manager.start().logged("node.serves")
 
 
-class Reload(Races):
-    def test_half_a_file_is_read_again(self) -> None:
-        manager, _, _ = self.watching()
-        later = Place(self)
-        whole = json.dumps({**manager.config, "discovery": f"127.0.0.1:{later.port}"})
-        manager.file.write_text(whole[:200])
+class ReloadTests(RaceTestCase):
+    def test_incomplete_file_is_read_again(self) -> None:
+        manager, _, _ = self.start_manager()
+        later = ManualListener(self)
+        complete = json.dumps({**manager.config, "discovery": f"127.0.0.1:{later.port}"})
+        manager.file.write_text(complete[:200])
         manager.signal(signal.SIGHUP)
         manager.logged("reload.refused")
-        manager.file.write_text(whole)
-        self.assertEqual(later.take().watched(), "41")
+        manager.file.write_text(complete)
+        self.assertEqual(later.accept().watch_index(), "41")
 
-    def test_a_file_that_stays_faulty_keeps_the_old_one(self) -> None:
-        manager, watch, proxy = self.watching()
+    def test_file_that_stays_invalid_keeps_the_old_configuration(self) -> None:
+        manager, watch, proxy = self.start_manager()
         manager.file.write_text("{")
         manager.signal(signal.SIGHUP)
         manager.logged("reload.refused")
         watch.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
 
-    def test_two_close_together_end_at_the_last_place(self) -> None:
-        manager, watch, proxy = self.watching()
-        second, third = Place(self), Place(self)
+    def test_two_reloads_in_a_row_end_at_the_last_address(self) -> None:
+        manager, watch, proxy = self.start_manager()
+        second, third = ManualListener(self), ManualListener(self)
         manager.write(discovery=f"127.0.0.1:{second.port}")
         manager.signal(signal.SIGHUP)
-        middle = second.take()  # dialled, and not answered
+        middle = second.accept()  # connected, and not answered
         manager.write(discovery=f"127.0.0.1:{third.port}")
         manager.signal(signal.SIGHUP)
-        last = third.take()
-        self.assertEqual(last.watched(), "41")
+        last = third.accept()
+        self.assertEqual(last.watch_index(), "41")
         self.assertTrue(middle.ended())
         last.send(HEAD)
         self.assertTrue(watch.ended())
         last.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
 
-    def test_the_same_place_again_changes_nothing(self) -> None:
-        manager, watch, proxy = self.watching()
+    def test_unchanged_address_changes_nothing(self) -> None:
+        manager, watch, proxy = self.start_manager()
         manager.write()
         manager.signal(signal.SIGHUP)
         manager.logged('"reload"')
         watch.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
-        self.assertTrue(self.discovery.unasked(0))
+        self.assertTrue(self.discovery.no_connection(0))
 
-    def test_a_drain_told_by_the_old_watch_while_the_new_one_is_dialled(self) -> None:
-        manager, watch, proxy = self.watching()
-        later = Place(self)
+    def test_drain_from_the_old_watch_while_the_new_one_connects(self) -> None:
+        manager, watch, proxy = self.start_manager()
+        later = ManualListener(self)
         manager.write(discovery=f"127.0.0.1:{later.port}")
         manager.signal(signal.SIGHUP)
-        new = later.take()
-        self.assertEqual(new.watched(), "41")
+        new = later.accept()
+        self.assertEqual(new.watch_index(), "41")
         watch.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
-        watch.sock.close()  # 1.5 s later, by the platform's word: the new one stays
+        watch.sock.close()  # the platform announces this for 1.5 s later; the new watch stays
         new.send(HEAD)
         new.chunk(listing(42, entry("s-2", state="draining")) + listing(43, entry("s-1", state="draining")))
         proxy.until("drop=s-1")
 
-    def test_other_fields_are_named_and_kept(self) -> None:
-        manager, _, _ = self.watching()
+    def test_changes_of_other_fields_are_logged_and_not_applied(self) -> None:
+        manager, _, _ = self.start_manager()
         manager.write(limits={"cores": 1.0, "memory_mb": 64, "sockets": 128})
         manager.signal(signal.SIGHUP)
         self.assertIn("limits", manager.logged("reload.kept"))
 
 
-class WatchRaces(Races):
-    def test_silence_anywhere_is_dialled_again(self) -> None:
+class WatchTests(RaceTestCase):
+    def test_silence_at_any_point_reconnects(self) -> None:
         whole = listing(42, *map(entry, ("s-0", "s-1", "s-2", "s-3")), full=True)
-        said = (b"", b"HTTP/1.1 200 OK\r\nTransfer-", HEAD + b'40\r\n{"version', None)
-        dialled = []
-        for head in said:  # side by side, as each takes the 3 s of silence
-            self.discovery = Place(self)
-            self.manager().serves()
-            watch = self.discovery.take()
-            watch.watched()
+        heads = (b"", b"HTTP/1.1 200 OK\r\nTransfer-", HEAD + b'40\r\n{"version', None)
+        expected = []
+        for head in heads:  # all at once, as each takes the 3 s of the silence timeout
+            self.discovery = ManualListener(self)
+            self.manager().start_and_wait()
+            watch = self.discovery.accept()
+            watch.watch_index()
             if head is None:
                 watch.send(HEAD)
                 watch.chunk(whole)
             else:
                 watch.send(head)
-            dialled.append((self.discovery, "42" if head is None else "41"))
-        for place, index in dialled:
-            self.assertEqual(place.take().watched(), index)
+            expected.append((self.discovery, "42" if head is None else "41"))
+        for listener, index in expected:
+            self.assertEqual(listener.accept().watch_index(), index)
 
-    def test_a_worker_missing_from_a_whole_list_is_gone(self) -> None:
-        _, watch, proxy = self.watching()
+    def test_worker_missing_from_a_full_list_is_dropped(self) -> None:
+        _, watch, proxy = self.start_manager()
         watch.chunk(listing(42, entry("s-0"), entry("s-1"), entry("s-3"), full=True))
         proxy.until("drop=s-2")
 
-    def test_an_older_answer_forgets_nothing(self) -> None:
-        _, watch, proxy = self.watching()
+    def test_older_answer_removes_nothing(self) -> None:
+        _, watch, proxy = self.start_manager()
         watch.chunk(listing(40, entry("s-0"), full=True) + listing(42, entry("s-3", state="draining")))
         self.assertEqual(proxy.until("drop=").split("drop=")[1].split(" ")[0], "s-3")
 
-    def test_a_line_that_can_not_be_read_is_asked_for_again(self) -> None:
-        _, watch, proxy = self.watching()
+    def test_full_list_is_requested_after_a_malformed_line(self) -> None:
+        _, watch, proxy = self.start_manager()
         watch.chunk(b'{"version":42,"full":false,"ser\n' + listing(43, entry("s-3", state="draining")))
         proxy.until("drop=s-3")
-        again = self.discovery.take()
-        self.assertEqual(again.watched(), "0")
+        again = self.discovery.accept()
+        self.assertEqual(again.watch_index(), "0")
         again.send(HEAD)
         again.chunk(listing(43, entry("s-0"), entry("s-1"), entry("s-2", state="draining"), full=True))
         proxy.until("drop=s-2")
 
-    def test_a_change_cut_by_the_end_of_the_connection_comes_with_the_next(self) -> None:
-        _, watch, proxy = self.watching()
+    def test_change_cut_by_the_end_of_the_connection_arrives_with_the_next(self) -> None:
+        _, watch, proxy = self.start_manager()
         change = listing(42, entry("s-2", state="draining"))
         watch.send(f"{len(change):x}\r\n".encode() + change[:-5])
         watch.sock.close()
-        again = self.discovery.take()
-        self.assertEqual(again.watched(), "41")
+        again = self.discovery.accept()
+        self.assertEqual(again.watch_index(), "41")
         again.send(HEAD)
         again.chunk(change)
         proxy.until("drop=s-2")
 
 
-class ProbeRaces(Races):
-    def test_a_worker_that_moved_is_probed_where_it_is(self) -> None:
-        old, new = Place(self), Place(self)
-        _, watch, _ = self.watching(entry("s-0", old.port), probes=True)
-        held = old.take()
+class ProbeTests(RaceTestCase):
+    def test_worker_that_moved_is_probed_at_its_new_address(self) -> None:
+        old, new = ManualListener(self), ManualListener(self)
+        _, watch, _ = self.start_manager(entry("s-0", old.port), probes=True)
+        in_flight = old.accept()
         watch.chunk(listing(42, entry("s-0", new.port)))
-        held.until("GET /ping")
-        held.sock.close()  # one is outstanding: its end lets the next go
+        in_flight.until("GET /ping")
+        in_flight.sock.close()  # one probe is in flight: the next one starts after its end
         for _ in range(3):
-            asked = new.take()
-            asked.until("GET /ping")
-            asked.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        self.assertTrue(old.unasked(0))
+            request = new.accept()
+            request.until("GET /ping")
+            request.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        self.assertTrue(old.no_connection(0))
 
-    def test_an_answer_of_the_place_before_counts_for_nothing(self) -> None:
-        old, new, names = Place(self), Place(self), ("s-1", "s-2", "s-3")
-        manager, watch, proxy = self.watching(entry("s-0", old.port), *map(entry, names), probes=True)
-        collector = manager.dial()
+    def test_probe_result_of_the_former_address_is_ignored(self) -> None:
+        old, new, names = ManualListener(self), ManualListener(self), ("s-1", "s-2", "s-3")
+        manager, watch, proxy = self.start_manager(entry("s-0", old.port), *map(entry, names), probes=True)
+        collector = manager.connect()
 
         def report() -> None:
-            """All are well but s-0, of which nothing is heard: two bad answers in a row withdraw it."""
+            """Reports that all workers but s-0 are healthy. Without reports, two failed probes in a row
+            withdraw it."""
             collector.send(
                 "".join(
                     f"LOAD zone=a server={name} tries=20 failed=0 mean_ms=50 span_ms=1000\r\n"
@@ -448,53 +456,53 @@
 
         collector.send(b"SOURCE zone=a\r\n")
         report()
-        old.take().sock.close()  # the first of them
-        held = old.take()
+        old.accept().sock.close()  # the first failed probe
+        in_flight = old.accept()
         watch.chunk(listing(42, entry("s-0", new.port), entry("s-3", state="draining")))
-        proxy.until("drop=s-3")  # the list has been read
-        held.sock.close()  # not the second: it was asked of the place before
+        proxy.until("drop=s-3")  # the new list has been applied
+        in_flight.sock.close()  # not a second failed probe, as it went to the former address
         for _ in range(3):
             report()
-            asked = new.take()
-            asked.until("GET /ping")
-            asked.send(b"HTTP/1.1 200 OK\r\n\r\n")
+            request = new.accept()
+            request.until("GET /ping")
+            request.send(b"HTTP/1.1 200 OK\r\n\r\n")
         watch.chunk(listing(43, entry("s-2", state="draining")))
         self.assertNotIn("s-0", proxy.until("drop="))
 
-    def test_killed_in_pieces_and_too_late_one_outstanding_a_worker(self) -> None:
-        place = Place(self)
-        manager, _, _ = self.watching(entry("s-0", place.port), entry("s-1"), probes=True)
-        place.take().sock.close()  # accepted, then killed with no answer
-        asked = place.take()
+    def test_closed_split_and_late_responses_with_one_probe_in_flight_per_worker(self) -> None:
+        worker = ManualListener(self)
+        manager, _, _ = self.start_manager(entry("s-0", worker.port), entry("s-1"), probes=True)
+        worker.accept().sock.close()  # accepted, then closed without a response
+        request = worker.accept()
         for byte in b"HTTP/1.1 200 OK\r\n\r\n":
-            asked.send(bytes([byte]))
-        self.assertTrue(asked.ended())
-        late = place.take()
+            request.send(bytes([byte]))
+        self.assertTrue(request.ended())
+        late = worker.accept()
         late.until("GET /ping")
-        self.assertTrue(late.ended())  # given up after a second, before the next one is sent
+        self.assertTrue(late.ended())  # the probe times out after a second, before the next one starts
         with self.assertRaises(OSError):
             for _ in range(100):
                 late.send(b"HTTP/1.1 200 OK\r\n\r\n")
-        place.take()
-        self.assertTrue(place.unasked(0.5))  # none beside one that is out
+        worker.accept()
+        self.assertTrue(worker.no_connection(0.5))  # no second probe while one is in flight
         manager.signal(signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
 
 
-class Withdrawals(Races):
-    """A proxy keeps what it was told to shut out over a change of streams, so whoever takes it over has to
-    let back what an earlier manager withdrew. A restarted manager knows nothing of that: sound workers stayed
-    shut out at hundreds of proxies for good, which shows in no figure of any manager."""
+class WithdrawalTests(RaceTestCase):
+    """A proxy keeps its withdrawn workers when its stream changes, so a manager that takes it over has to
+    undo the withdrawals of an earlier manager. A restarted manager doesn't know them: without this, healthy
+    workers stayed withdrawn at hundreds of proxies for good, which no figure of any manager shows."""
 
-    def test_a_worker_withdrawn_by_another_manager_is_let_back(self) -> None:
-        worker, names = Place(self), ("s-1", "s-2", "s-3")
+    def test_worker_withdrawn_by_another_manager_is_undropped(self) -> None:
+        worker, names = ManualListener(self), ("s-1", "s-2", "s-3")
         workers = entry("s-0", worker.port), *map(entry, names)
-        manager, _, proxy = self.watching(*workers, probes=True)
-        collector = manager.dial()
+        manager, _, proxy = self.start_manager(*workers, probes=True)
+        collector = manager.connect()
         collector.send(b"SOURCE zone=a\r\n")
-        shut_out = ""
-        while not shut_out:  # s-0 answers no probe, and nothing is heard of it
-            worker.take().sock.close()
+        withdrawn = ""
+        while not withdrawn:  # s-0 fails its probes, and there are no reports of it
+            worker.accept().sock.close()
             collector.send(
                 "".join(
                     f"LOAD zone=a server={name} tries=20 failed=0 mean_ms=50 span_ms=1000\r\n"
@@ -502,150 +510,154 @@
                 ).encode()
             )
             if not proxy.quiet(0.2):
-                shut_out = (proxy.line() or "").partition("drop=s-0")[1]
+                withdrawn = (proxy.line() or "").partition("drop=s-0")[1]
         manager.signal(signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
         worker.sock.settimeout(0.1)
-        self.discovery = Place(self)
-        taken_over = self.manager(*workers).serves().dial().join(3, fresh=0)  # without probes: s-0 is well
+        self.discovery = ManualListener(self)
+        taken_over = (
+            self.manager(*workers).start_and_wait().connect().join(3, fresh=0)
+        )  # without probes: s-0 counts as healthy
         self.assertIn("s-0:", taken_over.until("rows="))
         self.assertIn("s-0", taken_over.until("undrop=").partition("undrop=")[2])
 
 
-class Idle(Races):
-    def test_strangers_at_the_edge_of_their_second(self) -> None:
-        manager, _, _ = self.watching()
-        silent, pieces, joining = manager.dial(), manager.dial(), manager.dial()
+class IdleConnectionTests(RaceTestCase):
+    def test_unidentified_clients_are_closed_at_the_join_timeout(self) -> None:
+        manager, _, _ = self.start_manager()
+        silent, pinging, joining = manager.connect(), manager.connect(), manager.connect()
         for byte in b"PING\r\n":
-            pieces.send(bytes([byte]))
-        self.assertEqual(pieces.line(), "PONG")
+            pinging.send(bytes([byte]))
+        self.assertEqual(pinging.line(), "PONG")
         joining.send(b"SUBSCRIBE proxy=5 zone=a weight=9 fr")
-        self.assertEqual(silent.line(), "NACK")  # its second is over
-        self.assertEqual((silent.line(), pieces.line(), pieces.line()), (None, "NACK", None))
+        self.assertEqual(silent.line(), "NACK")  # the second in which it has to join is over
+        self.assertEqual((silent.line(), pinging.line(), pinging.line()), (None, "NACK", None))
         self.assertEqual((joining.line(), joining.line()), ("NACK", None))
-        manager.dial().join(5).until("CONFIG")
+        manager.connect().join(5).until("CONFIG")
 
-    def test_a_stream_half_closed_has_left(self) -> None:
-        manager, _, proxy = self.watching()
+    def test_half_closed_stream_leaves(self) -> None:
+        manager, _, proxy = self.start_manager()
         proxy.sock.shutdown(socket.SHUT_WR)
         self.assertTrue(proxy.ended())
-        manager.dial().join(3, fresh=0).until("replace=1")
+        manager.connect().join(3, fresh=0).until("replace=1")
 
-    def test_descriptors_that_run_out_in_accept_neither_end_nor_spin_it(self) -> None:
+    def test_running_out_of_descriptors_in_accept_causes_neither_exit_nor_busy_loop(self) -> None:
         manager = self.manager()
         manager.write()
         manager.start(lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (24, 24))).logged("node.serves")
-        strangers = [manager.dial() for _ in range(60)]
-        for stranger in strangers:
-            stranger.ended()
+        clients = [manager.connect() for _ in range(60)]
+        for client in clients:
+            client.ended()
         before = self.cpu(manager)
         self.assertEqual(self.ping(manager), "PONG")
         self.assertLess(self.cpu(manager) - before, 1.0)
         manager.signal(signal.SIGTERM)
-        self.assertEqual(manager.process.wait(WAIT), 0)
+        self.assertEqual(manager.process.wait(TIMEOUT_SECONDS), 0)
 
     def ping(self, manager: Manager) -> str | None:
-        stranger = manager.dial()
-        stranger.send(b"PING\r\n")
-        return stranger.line()
+        client = manager.connect()
+        client.send(b"PING\r\n")
+        return client.line()
 
     def cpu(self, manager: Manager) -> float:
         fields = Path(f"/proc/{manager.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def test_a_collector_that_falls_silent_keeps_its_place_and_its_newer_one_speaks(self) -> None:
-        manager, _, _ = self.watching()
-        first, second = manager.dial(), manager.dial()
+    def test_silent_collector_stays_connected_beside_a_newer_one(self) -> None:
+        manager, _, _ = self.start_manager()
+        first, second = manager.connect(), manager.connect()
         for collector in (first, second):
             collector.send(b"SOURCE zone=a\r\nPING\r\n")
             self.assertEqual(collector.line(), "PONG")
         second.send(b"LOAD zone=a server=s-0 tries=9 failed=1 mean_ms=4 span_ms=1000\r\nPING\r\n")
         self.assertEqual(second.line(), "PONG")
-        self.assertTrue(first.quiet(1.5))  # not closed after a stranger's second
+        self.assertTrue(first.quiet(1.5))  # not closed by the join timeout
 
 
-class HandOver(Races):
-    def test_a_new_stream_before_the_end_of_the_old_one_is_seen(self) -> None:
-        manager, watch, old = self.watching()
-        new = manager.dial().join(3, fresh=0)
+class ReplacedStreamTests(RaceTestCase):
+    def test_new_stream_before_the_end_of_the_old_one_is_seen(self) -> None:
+        manager, watch, old = self.start_manager()
+        new = manager.connect().join(3, fresh=0)
         self.assertIn("replace=1", new.until("rows="))
         self.assertTrue(old.ended())
         watch.chunk(listing(42, entry("s-2", state="draining")))
         new.until("drop=s-2")
 
-    def test_what_the_old_stream_says_after_it_is_not_the_new_ones(self) -> None:
-        manager, watch, old = self.watching()
-        new = manager.dial().join(3, fresh=0)
-        # In one piece with what the new stream says, or after its own end: either way it is not heard.
-        for said in (
+    def test_data_of_the_old_stream_is_ignored_after_its_replacement(self) -> None:
+        manager, watch, old = self.start_manager()
+        new = manager.connect().join(3, fresh=0)
+        # The old stream's data arrives together with the new stream's or after its own end: both are ignored.
+        for data in (
             b"RATE proxy=3 class=ask tries=9 failed=0 span_ms=1000\r\n",
             b"ACK proxy=3 mark=1 took_ms=1\r\n",
         ):
             try:
-                old.send(said)
+                old.send(data)
             except ConnectionError:
                 break
         line = new.until("stamp=")
         self.assertTrue(old.ended())
-        new.answer(line)  # a second answer to one mark is a stray, and ends nothing
+        new.acknowledge(line)  # a second ACK of one mark is ignored, and closes nothing
         watch.chunk(listing(42, entry("s-2", state="draining")))
         new.until("drop=s-2")
         manager.signal(signal.SIGTERM)
-        manager.ends()
+        manager.assert_clean_exit()
 
-    def test_a_stream_that_breaks_again_and_again_is_written_no_more_than_the_cap(self) -> None:
+    def test_repeatedly_reconnecting_stream_stays_within_the_cap(self) -> None:
         manager = self.manager()
         manager.config["settings"]["family_info"] |= {"update_cap": 12, "counted_over": 10000000}
-        manager.serves()
-        heard = list[float]()
-        while len(heard) < 12:
-            wire = manager.dial().join(3)
-            wire.until("CONFIG")
-            heard.append(time.monotonic())
-            wire.sock.close()
-        wire = manager.dial().join(3)
-        if heard[-1] - heard[0] < 6:  # else the machine was too slow for all to fall into one time of the cap
-            self.assertTrue(wire.quiet(2.0))
-        wire.until("replace=1")  # and then it is bound by itself
-        self.assertGreater(time.monotonic() - heard[0], 10)
-
-    def test_many_joinings_at_once_and_some_twice(self) -> None:
-        manager, _, _ = self.watching()
-        wires = [manager.dial() for _ in range(18)]
-        for place, wire in enumerate(wires):
-            wire.join(place % 9)
-        for wire in wires[9:]:
-            self.assertIn("rows=", wire.until("replace=1"))
-        for wire in wires[:9]:
-            self.assertTrue(wire.ended())
-
-    def test_a_joining_in_the_same_turn_as_a_drain(self) -> None:
-        manager, watch, _ = self.watching()
+        manager.start_and_wait()
+        received_at = list[float]()
+        while len(received_at) < 12:
+            connection = manager.connect().join(3)
+            connection.until("CONFIG")
+            received_at.append(time.monotonic())
+            connection.sock.close()
+        connection = manager.connect().join(3)
+        if (
+            received_at[-1] - received_at[0] < 6
+        ):  # otherwise the machine was too slow for all to fit into one window of the cap
+            self.assertTrue(connection.quiet(2.0))
+        connection.until("replace=1")  # and then it is bound without a further event
+        self.assertGreater(time.monotonic() - received_at[0], 10)
+
+    def test_many_joinings_at_once_some_of_them_twice(self) -> None:
+        manager, _, _ = self.start_manager()
+        connections = [manager.connect() for _ in range(18)]
+        for index, connection in enumerate(connections):
+            connection.join(index % 9)
+        for connection in connections[9:]:
+            self.assertIn("rows=", connection.until("replace=1"))
+        for connection in connections[:9]:
+            self.assertTrue(connection.ended())
+
+    def test_joining_in_the_same_turn_as_a_drain(self) -> None:
+        manager, watch, _ = self.start_manager()
         for turn, name in enumerate(("s-1", "s-2")):
-            change, wire = listing(42 + turn, entry(name, state="draining")), manager.dial()
-            os.kill(manager.process.pid, signal.SIGSTOP)  # both wait when it goes on
+            change, connection = listing(42 + turn, entry(name, state="draining")), manager.connect()
+            os.kill(manager.process.pid, signal.SIGSTOP)  # both are waiting when it continues
             watch.chunk(change)
-            wire.join(6 + turn)
+            connection.join(6 + turn)
             os.kill(manager.process.pid, signal.SIGCONT)
-            table = wire.until("rows=")
+            table = connection.until("rows=")
             if name + ":" in table:
-                wire.until(f"drop={name}")
+                connection.until(f"drop={name}")
 
-    def test_a_host_that_stood_still_goes_on(self) -> None:
-        manager, watch, proxy = self.watching()
+    def test_process_that_was_stopped_continues(self) -> None:
+        manager, watch, proxy = self.start_manager()
         os.kill(manager.process.pid, signal.SIGSTOP)
         watch.chunk(listing(42, entry("s-2", state="draining")))
-        began = time.monotonic()
-        self.assertTrue(self.discovery.unasked(3.2))  # longer than the silence that dials again
+        started = time.monotonic()
+        self.assertTrue(self.discovery.no_connection(3.2))  # longer than the silence timeout
         os.kill(manager.process.pid, signal.SIGCONT)
-        # By the old watch, or by a new one that asks for all since the version it knows.
-        if not self.discovery.unasked(1.0):
-            again = self.discovery.take()
-            if again.watched() == "41":
+        # Either the old watch continues, or a new one asks for the changes since the known version.
+        if not self.discovery.no_connection(1.0):
+            again = self.discovery.accept()
+            if again.watch_index() == "41":
                 again.send(HEAD)
                 again.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
-        self.assertGreater(time.monotonic() - began, 3)
+        self.assertGreater(time.monotonic() - started, 3)
 
 
 if __name__ == "__main__":
