--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -78,19 +78,19 @@
 
 @attrs.frozen
 class Configuration:
-    """What one manager is given at its start."""
+    """A manager's configuration, from the file and the environment."""
 
     name: str
     listen: HostPort
     discovery: HostPort
     seed: int
-    sockets: int
-    me: int
-    proxies: int
+    sockets: int  # how many descriptors the process may open
+    me: int  # this manager's number, which is its index in `peers`
+    proxies: int  # how many proxies there are
     peer_listen: HostPort | None
     peers: tuple[HostPort, ...]
     peers_all: HostPort | None
-    known: Any
+    known: Any  # the list of workers from before the start, if there is one
     manager_args: Mapping[str, Any]  # the decision module's keyword arguments
     report_mode: str  # where load reports come from: "piggyback", "pull" or "silent"
     load_names: frozenset[str]  # the values in load reports
@@ -205,7 +205,7 @@
         wall: Callable[[], float] = time.time,
     ) -> None:
         self.config, self._reactor, self._log = config, reactor, log
-        self._monotonic, self._wall, self._zero = monotonic, wall, monotonic()
+        self._monotonic, self._wall, self._started = monotonic, wall, monotonic()
         self.warnings = ThrottledLog(log, reactor)
         self._batch, self._batch_scheduled, self._wakeup = list[Event](), False, None  # type: list[Event], bool, Any
         self._max_lateness = self._max_batch_time = 0.0  # seconds, since the last log line
@@ -216,10 +216,10 @@
         # Separate from the module's generator, whose results must depend on its events alone.
         random = Random(config.seed ^ 0x5EED).random
         agent = numeric_agent(reactor, CONNECT_TIMEOUT_SECONDS)
-        path, pulls = (LOAD_REPORT_PATH, True) if config.report_mode == "pull" else (HEALTH_PATH, False)
+        path, with_body = (LOAD_REPORT_PATH, True) if config.report_mode == "pull" else (HEALTH_PATH, False)
         self._reload_timer: Any = None
         self._prober, self._probes_in_flight = (
-            Prober(reactor, path, pulls, config.connect_timeout),
+            Prober(reactor, path, with_body, config.connect_timeout),
             dict[Server, None](),
         )
         self._probe_slots = DeferredSemaphore(config.concurrent_probes)
@@ -283,7 +283,7 @@
     # Clocks.
 
     def now(self) -> int:
-        return CLOCK_START_TENTHS + int((self._monotonic() - self._zero) * TENTHS)
+        return CLOCK_START_TENTHS + int((self._monotonic() - self._started) * TENTHS)
 
     def from_unix_ms(self, unix_ms: float) -> int:
         """Converts a Unix time in milliseconds to the module's clock; 1 if it lies before the clock's
@@ -327,7 +327,7 @@
                 self._wakeup = self._reactor.callLater(wait, self._on_wakeup)
 
     def _probe(self, server: Server) -> None:
-        # One probe per worker at a time: the result of a slow one is as good when it arrives.
+        # One probe per worker at a time: a second one would tell no more than the late result of the first.
         if server.name not in self.catalog.known or server in self._probes_in_flight:
             return
         self._probes_in_flight[server] = None
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -222,24 +222,24 @@
         }
         for table in dict.fromkeys((*joined.pending_bindings, *joined.pending_rows, *joined.pending_levels)):
             products = [product for product in self.products if joined.tables.get(product) is table]
-            names, whole = [product.name for product in products], table in joined.pending_bindings
-            servers = table.lines if whole else joined.pending_rows.get(table, {})
+            names, replace = [product.name for product in products], table in joined.pending_bindings
+            servers = table.lines if replace else joined.pending_rows.get(table, {})
             rows = list(servers)
             levels = dict[tuple[float, int], list[Product]]()
             for product in products:
                 level = self._effective_level(table, product)
-                if level is not None and (whole or product in joined.pending_levels.get(table, {})):
+                if level is not None and (replace or product in joined.pending_levels.get(table, {})):
                     levels.setdefault(level, []).append(product)
             # A level that holds for all of the table's products goes into the same part as its rows; other
             # levels need a part each.
             shared = next((level for level, of_level in levels.items() if of_level == products), None)
             for first in range(0, len(rows) or 1, MAX_ROWS_PER_PART):
-                if whole or rows or shared:
+                if replace or rows or shared:
                     parts.append(
                         self._format_part(
                             table,
                             names,
-                            whole and not first,
+                            replace and not first,
                             rows[first : first + MAX_ROWS_PER_PART],
                             shared if not first else None,
                         )
@@ -249,8 +249,8 @@
                 for level, of_level in levels.items()
                 if level != shared
             ]
-            written[Purpose.BINDING if whole else Purpose.WEIGHT] += whole + len(rows)
-            written[Purpose.BINDING if whole else Purpose.LEVEL] += len(levels)
+            written[Purpose.BINDING if replace else Purpose.WEIGHT] += replace + len(rows)
+            written[Purpose.BINDING if replace else Purpose.LEVEL] += len(levels)
         assert len(parts) <= MAX_MESSAGE_PARTS
         if joined.pending_mark is not None:
             parts = [*parts[:-1], (parts[-1] if parts else format_config()) + f" stamp={joined.pending_mark}"]
@@ -263,15 +263,15 @@
         self,
         table: Table,
         names: Sequence[str],
-        whole: bool,
+        replace: bool,
         servers: Sequence[Server],
         gate: tuple[float, int] | None,
     ) -> str:
         """One part of a message, formatted once for all streams to which it goes."""
-        key = table, tuple(names), whole, tuple(servers), gate
+        key = table, tuple(names), replace, tuple(servers), gate
         if key not in self._part_cache:
             rows = [(server.name, table.lines.get(server, 0.0)) for server in servers]
-            self._part_cache[key] = format_config(names, whole, rows, gate)
+            self._part_cache[key] = format_config(names, replace, rows, gate)
         return self._part_cache[key]
 
     def _effective_level(self, table: Table, product: Product) -> tuple[float, int] | None:
@@ -332,12 +332,12 @@
             return
         self._to_write[joined] = None
         for product in products or self.products:
-            before = joined.tables.get(product)
+            previous = joined.tables.get(product)
             joined.tables[product] = table
-            if before is not None and before is not table and before not in joined.tables.values():
-                del before.proxies[joined]
+            if previous is not None and previous is not table and previous not in joined.tables.values():
+                del previous.proxies[joined]
                 for pending in (joined.pending_bindings, joined.pending_rows, joined.pending_levels):
-                    pending.pop(before, None)
+                    pending.pop(previous, None)
         table.proxies[joined] = joined.pending_bindings[table] = None
         for server in table.lines:
             if server in self._withdrawn or server in self._released:
--- a/rushladder/streams/listener.py
+++ b/rushladder/streams/listener.py
@@ -259,7 +259,8 @@
         # not joined is closed for whoever comes.
         if len(self.connections) > self.max_connections and len(self.unidentified) > MIN_UNIDENTIFIED:
             next(iter(self.unidentified)).refuse(
-                "no room", "all places are taken, and this is the oldest connection that has not joined"
+                "no room",
+                "the limit of open connections is reached, and this is the oldest one that has not joined",
             )
 
     def connection_closed(self, connection: Connection) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -63,7 +63,7 @@
 from rushladder.streams.listener import JOIN_TIMEOUT_SECONDS, Connection, Listener
 from tests.fakehost import ASK, PAY, SECOND, FakeHost
 
-DESCRIBED: dict[str, Any] = FakeHost().described
+MANAGER_ARGS: dict[str, Any] = FakeHost().described
 ROOT = Path(__file__).parent.parent
 
 
@@ -97,7 +97,7 @@
         self.catalog = Catalog(self.workers, lambda ms: 1, lambda *warning: self.warnings.append(warning))
         self.host = StreamHost(
             7,
-            DESCRIBED,
+            MANAGER_ARGS,
             1000 * SECOND,
             self.probes.append,
             lambda *message: self.peer_messages.append(message),
