--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -323,8 +323,8 @@
             if due is not None:
                 if self._wakeup is not None and self._wakeup.active():
                     self._wakeup.cancel()
-                wait = max(0.0, (due - self.now()) / TENTHS) + 1e-4
-                self._wakeup = self._reactor.callLater(wait, self._on_wakeup)
+                delay = max(0.0, (due - self.now()) / TENTHS) + 1e-4
+                self._wakeup = self._reactor.callLater(delay, self._on_wakeup)
 
     def _probe(self, server: Server) -> None:
         # One probe per worker at a time: a second one would tell no more than the late result of the first.
--- a/rushladder/streams/codec.py
+++ b/rushladder/streams/codec.py
@@ -212,7 +212,7 @@
 
 def parse_line(line: bytes) -> Message:
     """Parses one line without its ending. Raises ProtocolError if it isn't ASCII text of a known kind."""
-    kind, *words = line.split(b" ")
+    kind, *pairs = line.split(b" ")
     if NON_PRINTABLE_BYTE.search(line):
         raise ProtocolError("bytes that are not printable ASCII")
     if kind in MANAGER_KINDS:
@@ -221,8 +221,8 @@
         raise ProtocolError("unknown kind of message")
     build, fields = MESSAGE_FORMATS[kind]
     given = dict[str, str]()
-    for word in filter(None, words):
-        name, equals, value = word.decode().partition("=")
+    for pair in filter(None, pairs):
+        name, equals, value = pair.decode().partition("=")
         if not equals or name in given:
             return Malformed(kind.decode(), "a field without a value, or given twice")
         given[name] = value
@@ -260,8 +260,8 @@
         head = self._rest.removesuffix(b"\r")
         kind = head[: MAX_KIND_BYTES + 1].split(b" ")[0]
         known = any(
-            word.startswith(kind) if b" " not in head[: MAX_KIND_BYTES + 1] else word == kind
-            for word in (*MESSAGE_FORMATS, *MANAGER_KINDS)
+            valid.startswith(kind) if b" " not in head[: MAX_KIND_BYTES + 1] else valid == kind
+            for valid in (*MESSAGE_FORMATS, *MANAGER_KINDS)
         )
         if len(head) > self.max_line_bytes or NON_PRINTABLE_BYTE.search(head) or (head and not known):
             raise ProtocolError("an incomplete line that can't become a valid message", complete)
@@ -285,22 +285,22 @@
     stamp: int | None = None,
 ) -> str:
     """Formats one `CONFIG` line without its ending. `gate`: the admission level and the retry mode."""
-    words = ["CONFIG"]
+    fields = ["CONFIG"]
     if products:
-        words.append("for=" + "+".join(products))
+        fields.append("for=" + "+".join(products))
     if replace:
-        words.append("replace=1")
+        fields.append("replace=1")
     if rows:
-        words.append("rows=" + ",".join(f"{name}:{format_number(weight)}" for name, weight in rows))
+        fields.append("rows=" + ",".join(f"{name}:{format_number(weight)}" for name, weight in rows))
     if gate is not None:
-        words.append(f"gate={format_number(gate[0])} again={gate[1]}")
+        fields.append(f"gate={format_number(gate[0])} again={gate[1]}")
     if drop:
-        words.append("drop=" + ",".join(drop))
+        fields.append("drop=" + ",".join(drop))
     if undrop:
-        words.append("undrop=" + ",".join(undrop))
+        fields.append("undrop=" + ",".join(undrop))
     if stamp is not None:
-        words.append(f"stamp={stamp}")
-    return " ".join(words)
+        fields.append(f"stamp={stamp}")
+    return " ".join(fields)
 
 
 def join_parts(parts: Sequence[str]) -> bytes:
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -313,7 +313,7 @@
             self._to_write[joined] = None
             joined.pending_rows.setdefault(table, {})[worker] = None
             # A proxy keeps a withdrawal across streams and tables. A line that is added therefore repeats the
-            # worker's current state; otherwise the proxy could keep a worker out that was let back, or use
+            # worker's current state; otherwise the proxy could keep out a worker that was released, or use
             # one that is withdrawn.
             if new and weight > 0 and (worker in self._withdrawn or worker in self._released):
                 joined.pending_withdrawals[worker] = None
--- a/rushladder/streams/listener.py
+++ b/rushladder/streams/listener.py
@@ -256,7 +256,7 @@
     def connection_opened(self, connection: Connection) -> None:
         self.connections[connection] = self.unidentified[connection] = None
         # The time limit of rule 3 also runs for a proxy that isn't accepted, so the oldest client that has
-        # not joined is closed for whoever comes.
+        # not joined is closed for the new one.
         if len(self.connections) > self.max_connections and len(self.unidentified) > MIN_UNIDENTIFIED:
             next(iter(self.unidentified)).refuse(
                 "no room",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -184,8 +184,8 @@
                 "",
                 *(() if names else ("-1", "nan", "inf", "1e400", "x", "0x10", "1_0", "9" * 30)),
             ):
-                words = {**good, field: value}
-                line = "LOAD " + " ".join(f"{k}={v}" for k, v in words.items() if v is not None)
+                fields = {**good, field: value}
+                line = "LOAD " + " ".join(f"{k}={v}" for k, v in fields.items() if v is not None)
                 self.assertIsInstance(parse_line(line.encode()), Malformed, line)
         self.assertIsInstance(
             parse_line(b"LOAD zone=a server=s tries=1 failed=2 mean_ms=1 span_ms=1"), Malformed
@@ -640,10 +640,10 @@
         catalog = Catalog(self.workers, lambda ms: int(ms) * 10 + next(drift), lambda *warning: None)
         first = catalog.read_line(listing(1, entry("a", started_ms=5)))
         again = catalog.read_line(listing(2, entry("a", started_ms=5)))
-        anew = catalog.read_line(listing(3, entry("a", started_ms=6)))
-        assert first and again and anew
+        restarted = catalog.read_line(listing(3, entry("a", started_ms=6)))
+        assert first and again and restarted
         self.assertEqual(first.entries[0].started_at, again.entries[0].started_at)
-        self.assertNotEqual(again.entries[0].started_at, anew.entries[0].started_at)
+        self.assertNotEqual(again.entries[0].started_at, restarted.entries[0].started_at)
 
 
 class FakeDiscovery:
@@ -701,9 +701,9 @@
 
     def test_cut_line_loses_nothing_and_the_next_watch_resumes(self) -> None:
         self.discovery.respond()
-        body, whole = self.discovery.bodies[-1], listing(5, entry("a")) + b"\n"
-        for k in range(len(whole)):
-            body.dataReceived(whole[k : k + 1])
+        body, line = self.discovery.bodies[-1], listing(5, entry("a")) + b"\n"
+        for k in range(len(line)):
+            body.dataReceived(line[k : k + 1])
         body.dataReceived(listing(6, entry("b"), full=False)[:30])
         body.connectionLost()
         self.clock.advance(1)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -48,14 +48,14 @@
         line, self._rest = self._rest.split(b"\r\n", 1)
         return line.decode()
 
-    def until(self, word: str) -> str:
-        """Returns the first line that contains the word; acknowledges the marks of the lines up to it."""
+    def until(self, text: str) -> str:
+        """Returns the first line that contains the text; acknowledges the marks of the lines up to it."""
         while (line := self.line()) is not None:
             if "stamp=" in line and line.startswith("CONFIG"):
                 self.acknowledge(line)
-            if word in line:
+            if text in line:
                 return line
-        raise AssertionError(f"the connection ended without {word}")
+        raise AssertionError(f"the connection ended without {text}")
 
     def acknowledge(self, line: str) -> None:
         mark = line.partition("stamp=")[2].split(" ")[0]
@@ -142,7 +142,7 @@
             preexec_fn=before,
             env={**os.environ, "RELAY_CONFIG": str(self.file)},
         )
-        self._log, self._heard = list[str](), threading.Condition()
+        self._log, self._line_read = list[str](), threading.Condition()
         self._reader = threading.Thread(target=self._read, args=(self.process, self._log), daemon=True)
         self._reader.start()
         self.test.addCleanup(self._reap, self.process, self._reader)
@@ -151,9 +151,9 @@
     def _read(self, process: subprocess.Popen[str], log: list[str]) -> None:
         assert process.stderr is not None
         for line in process.stderr:
-            with self._heard:
+            with self._line_read:
                 log.append(line)
-                self._heard.notify_all()
+                self._line_read.notify_all()
 
     def _reap(self, process: subprocess.Popen[str], reader: threading.Thread) -> None:
         process.kill()
@@ -162,12 +162,12 @@
         assert process.stderr is not None
         process.stderr.close()
 
-    def logged(self, word: str) -> str:
-        """Waits for a log line that contains the word, and returns it."""
-        with self._heard:
-            self._heard.wait_for(lambda: any(word in line for line in self._log), TIMEOUT_SECONDS)
-            found = [line for line in self._log if word in line]
-        self.test.assertTrue(found, f"{word} not in {self._log}")
+    def logged(self, text: str) -> str:
+        """Waits for a log line that contains the text, and returns it."""
+        with self._line_read:
+            self._line_read.wait_for(lambda: any(text in line for line in self._log), TIMEOUT_SECONDS)
+            found = [line for line in self._log if text in line]
+        self.test.assertTrue(found, f"{text} not in {self._log}")
         return found[0]
 
     def start_and_wait(self) -> "Manager":
