--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -23,9 +23,9 @@
     Channel,
     Event,
     Guarantee,
+    Idempotency,
     LevelUnit,
     Product,
-    Repeat,
     Tries,
 )
 from rushladder.streams.host import StreamHost
@@ -33,7 +33,7 @@
 SECOND = 10_000
 ZONES = ("a", "b")
 PRODUCTS = tuple(
-    Product(name, 12_000, 30_000, 3.0, 0.1, Repeat.INQUIRY_LIKE, "all", 50_000)
+    Product(name, 12_000, 30_000, 3.0, 0.1, Idempotency.INQUIRY_LIKE, "all", 50_000)
     for name in ("ask", "tell", "pay")
 )
 
--- a/rushladder/benchlink/hosting.py
+++ b/rushladder/benchlink/hosting.py
@@ -26,7 +26,7 @@
     Left,
     Listing,
     ListKind,
-    PeerWord,
+    PeerMessage,
     Probed,
     ProbeResult,
     Product,
@@ -34,7 +34,7 @@
     Reminder,
     Retry,
     SliceArrivals,
-    SliceGiven,
+    SliceAssigned,
     SliceLine,
     Tries,
     Worker,
@@ -71,12 +71,12 @@
         self._now = now
         event = READERS[name](self, fields, pages)
         if event is not None:
-            self.manager.take(event)
+            self.manager.handle(event)
 
     def answer(self, now: int, reply: list[bytes]) -> None:
         """Adds the orders of the batch to the reply."""
         self._now = now
-        self.manager.close()
+        self.manager.end_batch()
         reply.extend(self._orders)
         self._orders.clear()
 
@@ -123,7 +123,7 @@
         )
 
     def _peer_word(self, got: dict[str, Any], _: Pages) -> Event:
-        return PeerWord(got["author"], got["data"])
+        return PeerMessage(got["author"], got["data"])
 
     def _joined(self, got: dict[str, Any], _: Pages) -> Event:
         gateway = self._gateways.get(got["proxy"])
@@ -167,7 +167,7 @@
         return Applied(gateway, got["version"], micros_to_tenths(got["elapsed"])) if gateway else None
 
     def _slice_given(self, got: dict[str, Any], _: Pages) -> Event:
-        return SliceGiven(got["map_id"], got["yes"])
+        return SliceAssigned(got["map_id"], got["yes"])
 
     def _slice_line(self, got: dict[str, Any], _: Pages) -> Event | None:
         server = self._servers.get(got["worker"])
@@ -193,22 +193,22 @@
     def now(self) -> int:
         return self._now
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         self._order("Weigh", map_id=tbl, size=weight, worker=worker.name)
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         self._order("Empty", map_id=tbl)
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
         self._order("AttachTable", proxy=self._numbers[proxy], map_id=tbl, class_bits=self._bits(products))
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         self._order("HoldBack", yes=out, worker=worker.name)
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """A proxy that is bound heeds this instance's withdrawals alone."""
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         self._order(
             "GateClass",
             map_id=EVERY_TABLE if tbl is None else tbl,
@@ -223,15 +223,15 @@
     def probe(self, worker: Worker) -> None:
         self._order("Touch", worker=worker.name)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self._order(
             "Announce", whom=EVERY_PEER if peer is None else peer, data=base64.b64encode(data).decode()
         )
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self._order("Watch", yes=on)
 
-    def ask_list(self) -> None:
+    def request_list(self) -> None:
         self._order("QueryAll")
 
     def wake(self, after: int, token: int) -> None:
--- a/rushladder/conf/startup_settings.py
+++ b/rushladder/conf/startup_settings.py
@@ -10,10 +10,14 @@
 from math import inf
 from typing import Any
 
-from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat, Retry
+from rushladder.interface import Channel, Guarantee, Idempotency, LevelUnit, Product, Retry
 
 MICROS_PER_TENTH = 100  # microseconds per tenth of a millisecond
-IDEMPOTENCY = {"retryable": Repeat.INQUIRY_LIKE, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
+IDEMPOTENCY = {
+    "retryable": Idempotency.INQUIRY_LIKE,
+    "dedup": Idempotency.REFERENCED,
+    "fragile": Idempotency.ONCE_ONLY,
+}
 LEVEL_UNITS = {"ratio": LevelUnit.RATIO, "rps": LevelUnit.RATE, "silent": LevelUnit.IGNORED}
 
 
@@ -45,20 +49,20 @@
         "channel": Channel(
             lines_per_s=_positive(family, "egress_per_s"),
             pending_max=float(family["pending_max"]),
-            head=float(family["head"]),
+            message_overhead=float(family["head"]),
             message_cap=int(family.get("update_cap", 0)),
-            cap_span=micros_to_tenths(family.get("counted_over", 0)),
-            usual_way=micros_to_tenths(family["propagation"]),
-            longest_way=micros_to_tenths(family["push_delay_max"]),
+            cap_window=micros_to_tenths(family.get("counted_over", 0)),
+            usual_delay=micros_to_tenths(family["propagation"]),
+            max_delay=micros_to_tenths(family["push_delay_max"]),
         ),
         "guarantee": Guarantee(
-            bare=micros_to_tenths(family["bare"]),
+            no_worker_limit=micros_to_tenths(family["bare"]),
             drain_grace=micros_to_tenths(guarantees["drain_grace"]),
             cold_time=micros_to_tenths(guarantees["cold"]),
             cold_from=float(guarantees["cold_from"]),
-            fall_multiple=float(guarantees["overload_factor"]),
-            fall_for=micros_to_tenths(guarantees["overload_for"]),
-            ask_within=micros_to_tenths(guarantees.get("ask_within", 0)),
+            overload_factor=float(guarantees["overload_factor"]),
+            overload_duration=micros_to_tenths(guarantees["overload_for"]),
+            list_retry_within=micros_to_tenths(guarantees.get("ask_within", 0)),
             dropped_stay_open=bool(guarantees.get("dropped_stay_open", False)),
         ),
         "level_unit": LEVEL_UNITS[family["throttle_by"]],
@@ -86,11 +90,11 @@
             name=str(lane["name"]),
             sla_time=micros_to_tenths(lane["target"]),
             expiry=micros_to_tenths(lane["deadline"]),
-            rev=float(lane["points"]),
-            late_part=float(lane.get("late_worth", 0.0)),
-            repeat=IDEMPOTENCY[lane["idempotency"]],
-            group=str(lane.get("group", "all")),
-            window=micros_to_tenths(lane.get("repeat_window", 0)),
+            revenue=float(lane["points"]),
+            late_revenue_fraction=float(lane.get("late_worth", 0.0)),
+            idempotency=IDEMPOTENCY[lane["idempotency"]],
+            dedup_group=str(lane.get("group", "all")),
+            dedup_window=micros_to_tenths(lane.get("repeat_window", 0)),
             writes=bool(writers[index]),
             home_only=bool(zone_bound[index]),
             models=frozenset(lane.get("only_kinds") or ()),
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -8,10 +8,10 @@
 from google.protobuf.message import DecodeError
 from twisted.internet import protocol
 
-from rushladder.conf.objects import PeerSite
+from rushladder.conf.objects import PeerConfig
 from rushladder.peers.inbox import Inbox, Verdict
 from rushladder.peers.word_pb2 import Word
-from rushladder.timing import Clock, tenths
+from rushladder.timing import Clock, clock_tenths
 
 MAGIC = 0x52554C44  # the `mark` of each datagram: "RULD"
 MAX_DATAGRAM_BYTES = 1200  # fits any path without fragmentation
@@ -24,7 +24,7 @@
         self,
         manager: str,
         boot: int,
-        peers: Mapping[str, PeerSite],
+        peers: Mapping[str, PeerConfig],
         clock: Clock,
         received: Callable[[int, bytes], None],
         report_error: Callable[[str], None],
@@ -60,7 +60,7 @@
         if message.mark != MAGIC:
             self.inbox.counts[Verdict.FOREIGN] += 1
             return self._report_error("a foreign datagram was received at the address for peers")
-        verdict = self.inbox.accept(message.manager, message.boot, message.number, tenths(self._clock))
+        verdict = self.inbox.accept(message.manager, message.boot, message.number, clock_tenths(self._clock))
         if verdict is Verdict.NEW:
             self._received(self._peers[message.manager].number, message.data)
         elif verdict is Verdict.FOREIGN:
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -10,19 +10,25 @@
 from twisted.internet.defer import TimeoutError as Late
 
 from rushladder import __version__
-from rushladder.conf.grammar import Unreadable, duration, inet, name, number
+from rushladder.conf.grammar import InvalidValue, duration, inet, name, number
 from rushladder.core.host import LEVELS_MAP, RETRIES_MAP
-from rushladder.core.roster import NoSuch
-from rushladder.gateways.difference import Admin
+from rushladder.core.roster import RosterError
+from rushladder.gateways.diff import AdminState
 from rushladder.guard.history import Version
-from rushladder.guard.warden import Denied
+from rushladder.guard.table_guard import Denied
 from rushladder.interface import Availability
-from rushladder.runtime.endpoint import Level, Refused, Verb, Verbs
-from rushladder.runtime.grammar import Command, csv
+from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.grammar import Command, format_csv
 from rushladder.service.manager import Manager
-from rushladder.store.commands import LONGEST, LONGEST_ID, SURE_MOST, Effect, repeatable
+from rushladder.store.commands import (
+    MAX_COMMAND_LENGTH,
+    MAX_ID_LENGTH,
+    DURABLE_TIMEOUT,
+    Effect,
+    is_idempotent,
+)
 from rushladder.store.memory import Kind
-from rushladder.timing import TENTHS, tenths
+from rushladder.timing import TENTHS_PER_SECOND, clock_tenths
 
 PREPARED_MOST, LINES_MOST = 16, 20_000  # versions begun and not committed; 20 products x 1,000 servers
 SHOWN = 20  # resolvers of a pool that are shown: those who bring most
@@ -51,12 +57,12 @@
 )
 
 
-def verbs(manager: Manager) -> Verbs:
+def command_table(manager: Manager) -> CommandTable:
     """All commands, with who may use them."""
     api = Api(manager)
-    plain = Verbs(
+    plain = CommandTable(
         [
-            Verb(tuple(words.split()), level, usage, _refusing(run))
+            CommandSpec(tuple(words.split()), level, usage, _refusing(run))
             for words, level, usage, run in (
                 ("show info", Level.USER, "show info [json] : facts about this manager", api.info),
                 ("show version", Level.USER, "show version : its version", lambda words: f"{__version__}\n"),
@@ -164,13 +170,13 @@
             )
         ]
     )
-    once = Verb(
+    once = CommandSpec(
         ("once",),
         Level.OPERATOR,
         "once ID COMMAND... : carried out once, however often it is sent, over restarts too",
         Once(manager, plain).run,
     )
-    return Verbs([*plain.all, once])
+    return CommandTable([*plain.all, once])
 
 
 Run = Callable[[tuple[str, ...]], str]
@@ -191,10 +197,10 @@
     def call(command: Command, level: Level) -> str:
         try:
             return run(command.words)
-        except (NoSuch, Unreadable) as trouble:
-            raise Refused(f"{trouble}") from None
+        except (RosterError, InvalidValue) as trouble:
+            raise CommandRefused(f"{trouble}") from None
         except IndexError:
-            raise Refused("An argument is missing, see 'help'.") from None
+            raise CommandRefused("An argument is missing, see 'help'.") from None
 
     return call
 
@@ -202,46 +208,52 @@
 class Once:
     """Carries out commands that bear an id; what to do with a repeat is decided in `store.commands`."""
 
-    def __init__(self, manager: Manager, verbs: Verbs) -> None:
+    def __init__(self, manager: Manager, verbs: CommandTable) -> None:
         self._manager, self._verbs, self._journal = manager, verbs, manager.journal
 
     async def run(self, command: Command, level: Level) -> str:
         words = command.words
-        if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{LONGEST_ID}}}", words[1]):
-            raise Refused(f"once ID COMMAND...; an ID has 1 to {LONGEST_ID} letters, digits, and . : - _")
+        if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{MAX_ID_LENGTH}}}", words[1]):
+            raise CommandRefused(
+                f"once ID COMMAND...; an ID has 1 to {MAX_ID_LENGTH} letters, digits, and . : - _"
+            )
         name, inner = words[1], Command(words[2:], command.payload)
         verb = self._verbs.find(inner.words)
         text = " ".join(inner.words)
-        if verb is None or len(text) > LONGEST:
-            raise Refused(f"Unknown command, or over {LONGEST} characters; see 'help'.")
+        if verb is None or len(text) > MAX_COMMAND_LENGTH:
+            raise CommandRefused(f"Unknown command, or over {MAX_COMMAND_LENGTH} characters; see 'help'.")
         if verb.level > level:
             return "Permission denied\n"
         memory = self._manager.memory
         now = memory.now() if memory is not None else 0
-        effect = self._journal.begin(name, text, repeatable(verb.words), now)
+        effect = self._journal.begin(name, text, is_idempotent(verb.words), now)
         if effect is Effect.ANSWER:
             return self._journal[name].answer
         if effect is not Effect.RUN:
-            raise Refused(f"Not carried out: {effect.value}.")
+            raise CommandRefused(f"Not carried out: {effect.value}.")
         if memory is not None:
             try:
                 await self._sure(name)
             except Late:
-                self._journal.never_ran(name)
+                self._journal.cancel(name)
                 memory.writer.put(Kind.COMMAND, name, None)
-                raise Refused("Not carried out: it could not be noted, the disk fails or is slow.") from None
+                raise CommandRefused(
+                    "Not carried out: it could not be noted, the disk fails or is slow."
+                ) from None
         try:
             answer = verb.run(inner, level)
             answer = answer if isinstance(answer, str) else await answer
-        except Refused as refused:
+        except CommandRefused as refused:
             answer = f"{refused}\n"
-        self._journal.answered(name, answer)
+        self._journal.record_answer(name, answer)
         if memory is not None:
             self._manager.remember_changes()
             try:
                 await self._sure(name)
             except Late:
-                raise Refused(f"Carried out, but not noted, as the disk fails or is slow: {answer}") from None
+                raise CommandRefused(
+                    f"Carried out, but not noted, as the disk fails or is slow: {answer}"
+                ) from None
         return answer
 
     async def _sure(self, name: str) -> None:
@@ -249,7 +261,7 @@
         assert memory is not None
         memory.noted(name)
         clock: Any = self._manager.clock
-        await memory.sure().addTimeout(SURE_MOST, clock)
+        await memory.sure().addTimeout(DURABLE_TIMEOUT, clock)
 
 
 class Api:
@@ -259,8 +271,8 @@
 
     def info(self, words: tuple[str, ...]) -> str:
         manager, up = self._manager, self._manager.clock.seconds() - self._manager.started
-        owed, sent = self._core.waiting()
-        unanswered = sum(driver.waiting() for driver in manager.drivers)
+        owed, sent = self._core.line_counts()
+        unanswered = sum(driver.unanswered_commands() for driver in manager.drivers)
         facts: dict[str, str | int] = {
             "Name": "rushladder",
             "Version": __version__,
@@ -270,7 +282,7 @@
             "Beats": manager.beats,
             "Events": manager.events,
             "Gateways": len(manager.drivers),
-            "GatewaysHeld": sum(driver.port is not None for driver in manager.drivers),
+            "GatewaysHeld": sum(driver.session is not None for driver in manager.drivers),
             "Servers": len(self._roster.listed),
             "ListVersion": self._roster.version,
             "ListRestored": int(manager.restored),
@@ -287,19 +299,19 @@
         return "".join(f"{key}: {value}\n" for key, value in facts.items())
 
     def stat(self, words: tuple[str, ...]) -> str:
-        now, rows = tenths(self._manager.clock), list[dict[str, object]]()
+        now, rows = clock_tenths(self._manager.clock), list[dict[str, object]]()
         for product in self._core.products:
             sums = [
                 sum(values)
                 for values in zip(
                     (0.0, 0.0),
-                    *(gateway.came[product].total(now, 5) for gateway in self._core.ports),
+                    *(gateway.arrivals[product].total(now, 5) for gateway in self._core.sessions),
                     strict=True,
                 )
             ]
             levels = [
-                int(float(self._core.level_text(tbl.gates[product][0])))
-                for port in self._core.ports.values()
+                int(float(self._core.format_level(tbl.gates[product][0])))
+                for port in self._core.sessions.values()
                 if (tbl := port.tables.get(product)) is not None and product in tbl.gates
             ]
             rows.append(
@@ -308,22 +320,24 @@
                     "svname": "BACKEND",
                     "status": "UP",
                     "stot": int(sums[0]),
-                    "req_rate": round(TENTHS * sums[0] * len(self._core.ports) / sums[1], 1)
+                    "req_rate": round(TENTHS_PER_SECOND * sums[0] * len(self._core.sessions) / sums[1], 1)
                     if sums[1]
                     else 0,
                     "level_permille": min(levels, default=1000),
-                    "gateways": len(self._core.ports),
+                    "gateways": len(self._core.sessions),
                 }
             )
         used = dict[str, int]()
-        for port in self._core.ports.values():
+        for port in self._core.sessions.values():
             carries = {
-                key[1] for key, line in port.held.lines.items() if line.weight and line.admin is Admin.READY
+                key[1]
+                for key, line in port.held.lines.items()
+                if line.weight and line.admin is AdminState.READY
             }
             for server in carries:
                 used[server] = used.get(server, 0) + 1
         for one in self._roster.listed.values():
-            many, voided, _, _, rate = one.server.seen(now, 5)
+            many, voided, _, _, rate = one.server.recent_totals(now, 5)
             rows.append(
                 {
                     "pxname": FLEET,
@@ -341,12 +355,12 @@
                     "gateways": used.get(one.server.name, 0),
                 }
             )
-        return csv(COLUMNS, ([row.get(column, "") for column in COLUMNS] for row in rows))
+        return format_csv(COLUMNS, ([row.get(column, "") for column in COLUMNS] for row in rows))
 
     def servers(self, words: tuple[str, ...]) -> str:
         if len(words) > 3 and words[3] != FLEET:
-            raise Refused("Can't find backend.")
-        now = tenths(self._manager.clock)
+            raise CommandRefused("Can't find backend.")
+        now = clock_tenths(self._manager.clock)
         text = (
             "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight "
             "srv_time_since_last_change srv_port region model\n"
@@ -354,7 +368,7 @@
         bits = {Availability.READY: 0, Availability.DRAINING: 8, Availability.GONE: 1}
         for place, one in enumerate(self._roster.listed.values(), 1):
             host, port = one.address.rsplit(":", 1)
-            age = (now - one.started_at) // TENTHS if one.started_at else -1
+            age = (now - one.started_at) // TENTHS_PER_SECOND if one.started_at else -1
             text += (
                 f"1 {FLEET} {place} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
                 f"{bits[one.availability]} {one.size:g} {age} {port} {one.server.zone} {one.server.model}\n"
@@ -368,38 +382,38 @@
         if len(words) < 3:
             return f"# id (file) description\n0 ({LEVELS_MAP}) let in\n1 ({RETRIES_MAP}) retry rule\n"
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
-            raise Refused("Unknown map identifier. Please use levels or retries.")
+            raise CommandRefused("Unknown map identifier. Please use levels or retries.")
         text, place = "", 0
-        for port in self._core.ports.values():
+        for port in self._core.sessions.values():
             for key, value in self._core.maps(port)[words[2]].items():
                 place += 1
                 text += f"0x{place:x} {port.gateway.name}/{key} {value}\n"
         return text
 
     def sess(self, words: tuple[str, ...]) -> str:
-        now, text = tenths(self._manager.clock), ""
+        now, text = clock_tenths(self._manager.clock), ""
         for driver in self._manager.drivers:
-            port, hold = driver.port, driver.holding
+            port, hold = driver.session, driver.election
             text += (
-                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.stand.name.lower()} "
-                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.waiting()}"
+                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.state.name.lower()} "
+                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
             )
             if port is not None:
                 age = (now - port.sent_at) // 10 if port.sent_at else 0
                 text += (
-                    f" owed={port.owed_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
+                    f" owed={port.pending_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
                     f"lines={len(port.held.lines)}"
                 )
             text += "\n"
         return text
 
     def table(self, words: tuple[str, ...]) -> str:
-        port = next((port for port in self._core.ports.values() if port.gateway.name == words[2]), None)
+        port = next((port for port in self._core.sessions.values() if port.gateway.name == words[2]), None)
         if port is None:
-            raise Refused("No such gateway held here.")
+            raise CommandRefused("No such gateway held here.")
         rows = list[list[object]]()
         for product in port.tables:
-            for key, line in self._core.wanted(port, product).items():
+            for key, line in self._core.desired_lines(port, product).items():
                 held = port.held.lines.get(key)
                 rows.append(
                     [
@@ -410,7 +424,7 @@
                         held.admin.value if held else "",
                     ]
                 )
-        return csv(("pxname", "svname", "weight", "state", "held_weight", "held_state"), rows)
+        return format_csv(("pxname", "svname", "weight", "state", "held_weight", "held_state"), rows)
 
     def errors(self, words: tuple[str, ...]) -> str:
         now = self._manager.clock.seconds()
@@ -424,23 +438,23 @@
     def _factor(self, word: str, percent: str) -> tuple[tuple[str, str], float]:
         product, _, server = word.partition("/")
         if not server:
-            raise Refused("Require 'product/server'.")
+            raise CommandRefused("Require 'product/server'.")
         return (product, server), number(0, 10_000, "%")(percent) / 100
 
     def _propose(self, why: str, changes: list[tuple[tuple[str, str], float]]) -> str:
-        gateways, warden = self._core.using({key for key, _ in changes}), self._core.warden
-        return self._stands(lambda now: warden.propose("operator", why, changes, gateways, now))
+        gateways, table_guard = self._core.gateways_using({key for key, _ in changes}), self._core.table_guard
+        return self._stands(lambda now: table_guard.propose("operator", why, changes, gateways, now))
 
     def _stands(self, change: Callable[[int], Version]) -> str:
-        warden = self._core.warden
+        table_guard = self._core.table_guard
         try:
-            version = change(tenths(self._manager.clock))
+            version = change(clock_tenths(self._manager.clock))
         except Denied as denied:
-            raise Refused(f"Refused: {denied}.") from None
-        self._core.owe_all()
-        self._manager.give()
-        wave = warden.wave
-        out = wave is not None and not wave.over and wave.number == version.number
+            raise CommandRefused(f"Refused: {denied}.") from None
+        self._core.mark_all_pending()
+        self._manager.handle_events()
+        wave = table_guard.wave
+        out = wave is not None and not wave.finished and wave.number == version.number
         self._manager.told("table.accepted", version=version.number, why=version.why, wave=out)
         return f"Version {version.number} {'goes out in waves' if out else 'stands'}.\n"
 
@@ -457,13 +471,13 @@
     def _lines_of(self, word: str) -> list[tuple[tuple[str, str], float]]:
         version = word.removeprefix("@")
         if not version.isdigit() or int(version) not in self._prepared:
-            raise Refused("Unknown version of the table.")
+            raise CommandRefused("Unknown version of the table.")
         return self._prepared[int(version)]
 
     def add_line(self, words: tuple[str, ...]) -> str:
         lines = self._lines_of(words[2])
         if len(lines) >= LINES_MOST:
-            raise Refused(f"The version is full; {LINES_MOST} lines are allowed.")
+            raise CommandRefused(f"The version is full; {LINES_MOST} lines are allowed.")
         lines.append(self._factor(words[3], words[4]))
         return ""
 
@@ -474,18 +488,18 @@
 
     def rollback(self, words: tuple[str, ...]) -> str:
         if not words[2].isdigit():
-            raise Refused("Require a version's number.")
-        warden = self._core.warden
-        keys = {key for one in warden.history.all() for key in one.factors}
-        gateways = self._core.using(keys)
-        return self._stands(lambda now: warden.rollback("operator", int(words[2]), gateways, now))
+            raise CommandRefused("Require a version's number.")
+        table_guard = self._core.table_guard
+        keys = {key for one in table_guard.history.all() for key in one.factors}
+        gateways = self._core.gateways_using(keys)
+        return self._stands(lambda now: table_guard.rollback("operator", int(words[2]), gateways, now))
 
     @staticmethod
     def _age(at: int, now: int) -> int:
-        return (now - at) // TENTHS if at else -1
+        return (now - at) // TENTHS_PER_SECOND if at else -1
 
     def history(self, words: tuple[str, ...]) -> str:
-        now, history = tenths(self._manager.clock), self._core.warden.history
+        now, history = clock_tenths(self._manager.clock), self._core.table_guard.history
         return "# version parent age_s who lines state why\n" + "".join(
             f"{one.number} {one.parent} {self._age(one.at, now)} {one.who} {len(one.factors)} "
             f"{'current' if one.number == history.current else one.state.replace(' ', '_')} {one.why}\n"
@@ -494,43 +508,43 @@
 
     def diff(self, words: tuple[str, ...]) -> str:
         try:
-            rows = self._core.warden.history.diff(int(words[3]), int(words[4]))
+            rows = self._core.table_guard.history.diff(int(words[3]), int(words[4]))
         except (KeyError, ValueError):
-            raise Refused("No such version.") from None
+            raise CommandRefused("No such version.") from None
         return "# pxname svname before after\n" + "".join(
             f"{key[0]} {key[1]} {100 * before:g}% {100 * after:g}%\n" for key, before, after in rows
         )
 
     def refused(self, words: tuple[str, ...]) -> str:
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         return "".join(
-            f"[{(now - one.at) // TENTHS}s ago] {one.who}: {one.what}\n"
-            for one in self._core.warden.history.refused
+            f"[{(now - one.at) // TENTHS_PER_SECOND}s ago] {one.who}: {one.what}\n"
+            for one in self._core.table_guard.history.refused
         )
 
     def wave(self, words: tuple[str, ...]) -> str:
-        wave = self._core.warden.wave
+        wave = self._core.table_guard.wave
         if wave is None:
             return "No wave.\n"
         return (
             f"version={wave.number} stage={wave.stage.name.lower()} gateways={','.join(wave.changed) or '-'} "
-            f"txns={wave.watch.seen:.0f} sure_worse={wave.watch.sureness():.3f}\n"
+            f"txns={wave.test.txns:.0f} sure_worse={wave.test.probability_worse():.3f}\n"
         )
 
     # Load reports.
 
     def load(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, tenths(self._manager.clock)
+        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
         if len(words) > 2 and words[2] not in desk.senders:
-            raise Refused("No such server that reports.")
+            raise CommandRefused("No such server that reports.")
         rows = [
             [
                 name,
                 f"{one.reading.value():.3f}",
-                f"{(now - one.reading.heard) / TENTHS:.1f}",
-                f"{one.reading.say(now):.2f}",
+                f"{(now - one.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
+                f"{one.reading.freshness(now):.2f}",
                 f"{desk.hints.worth(name):.2f}",
-                f"{desk.given.get(name, 1.0):.3f}",
+                f"{desk.current_hints.get(name, 1.0):.3f}",
                 one.reading.boot,
                 one.reading.newest,
                 one.agent.why if one.agent else "",
@@ -538,11 +552,11 @@
             for name, one in desk.senders.items()
             if one.reading.boot >= 0 and words[2:3] in ((), (name,))
         ]
-        return csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
+        return format_csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, tenths(self._manager.clock)
-        loads, ages = desk.spread(now)
+        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
+        loads, ages = desk.distributions(now)
         text = "".join(f"{fate.name}: {many}\n" for fate, many in desk.counts.items())
         text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
         for what, sketch in (("load", loads), ("age_s", ages)):
@@ -557,7 +571,7 @@
     def store(self, words: tuple[str, ...]) -> str:
         memory = self._manager.memory
         if memory is None:
-            raise Refused("Nothing is remembered: no memory is configured, or it could not be opened.")
+            raise CommandRefused("Nothing is remembered: no memory is configured, or it could not be opened.")
         opened, writer = memory.opened, memory.writer
         facts: dict[str, object] = {
             "Records": len(memory.log.state),
@@ -567,15 +581,15 @@
             "Refused": writer.refused,
             "Snapshots": memory.log.snapshots,
             "Segment": memory.log.segment,
-            "Failing": int(writer.behind),
+            "Failing": int(writer.failing),
             "Snapshot_read": opened.snapshot or "none",
             "Records_read": opened.records,
             "Skipped": opened.skipped,
             "Gaps": opened.gaps,
             "Servers_recalled": memory.recalled,
             "Commands": len(memory.journal),
-            "Commands_from_record": memory.journal.from_record,
-            "Commands_unknown": memory.journal.unknown,
+            "Commands_from_record": memory.journal.answered_from_journal,
+            "Commands_unknown": memory.journal.unknown_outcomes,
         }
         text = "".join(f"{key}: {value}\n" for key, value in facts.items())
         text += "".join(f"server memories, {sign.value}: {many}\n" for sign, many in memory.signs.items())
@@ -586,7 +600,7 @@
     def dns(self, words: tuple[str, ...]) -> str:
         front = self._manager.dns
         if front is None:
-            raise Refused("No zone is configured.")
+            raise CommandRefused("No zone is configured.")
         text = "".join(f"{fate.name}: {many}\n" for fate, many in front.counts.items())
         text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
         rows = list[list[object]]()
@@ -603,12 +617,14 @@
                         f"{pool.split.standing.get(server, 0.0):.2f}",
                     ]
                 )
-        return text + csv(("pxname", "region", "svname", "weight", "cold", "allowed_s", "standing_s"), rows)
+        return text + format_csv(
+            ("pxname", "region", "svname", "weight", "cold", "allowed_s", "standing_s"), rows
+        )
 
     def resolvers(self, words: tuple[str, ...]) -> str:
-        front, now = self._manager.dns, tenths(self._manager.clock)
+        front, now = self._manager.dns, clock_tenths(self._manager.clock)
         if front is None:
-            raise Refused("No zone is configured.")
+            raise CommandRefused("No zone is configured.")
         rows = [
             [
                 product,
@@ -616,15 +632,15 @@
                 asker.source,
                 asker.asked,
                 f"{pool.askers.volume(asker):.2f}",
-                f"{TENTHS / asker.wait if asker.wait else 0:.2f}",
+                f"{TENTHS_PER_SECOND / asker.wait if asker.wait else 0:.2f}",
                 int(asker.known()),
-                f"{(now - asker.last) / TENTHS:.1f}",
+                f"{(now - asker.last) / TENTHS_PER_SECOND:.1f}",
                 " ".join(asker.servers),
             ]
             for (product, region), pool in front.pools.items()
             for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[:SHOWN]
         ]
-        return csv(
+        return format_csv(
             ("pxname", "region", "resolver", "asked", "txns_s", "by_waits", "known", "age_s", "servers"), rows
         )
 
@@ -633,26 +649,26 @@
     def _name(self, word: str) -> str:
         backend, _, server = word.partition("/")
         if not server:
-            raise Refused("Require 'backend/server'.")
+            raise CommandRefused("Require 'backend/server'.")
         if backend != FLEET:
-            raise Refused(f"No such backend. Servers are listed in '{FLEET}'.")
+            raise CommandRefused(f"No such backend. Servers are listed in '{FLEET}'.")
         return name(server)
 
     def set_server(self, words: tuple[str, ...]) -> str:
-        server, now = self._name(words[2]), tenths(self._manager.clock)
+        server, now = self._name(words[2]), clock_tenths(self._manager.clock)
         if words[3] == "state":
             if words[4] not in STATES:
-                raise Refused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
-            self._manager.listing(self._roster.change(server, now, availability=STATES[words[4]]))
+                raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
+            self._manager.apply_list_change(self._roster.change(server, now, availability=STATES[words[4]]))
         elif words[3] == "weight":
             size = number(0.001, 1000)(words[4])
             try:
-                self._core.warden.resize("operator", server, size / self._roster[server].size, now)
+                self._core.table_guard.resize("operator", server, size / self._roster[server].size, now)
             except Denied as denied:
-                raise Refused(f"Refused: {denied}.") from None
-            self._manager.listing(self._roster.change(server, now, size=size))
+                raise CommandRefused(f"Refused: {denied}.") from None
+            self._manager.apply_list_change(self._roster.change(server, now, size=size))
         else:
-            raise Refused("usage: set server fleet/NAME state | weight")
+            raise CommandRefused("usage: set server fleet/NAME state | weight")
         return ""
 
     def enable(self, words: tuple[str, ...]) -> str:
@@ -669,14 +685,14 @@
             or set(options) - {"region", "model", "weight", "started"}
             or "region" not in options
         ):
-            raise Refused(
+            raise CommandRefused(
                 "usage: add server fleet/NAME ADDRESS:PORT region REGION [model MODEL] [weight SIZE] "
                 "[started TIME]"
             )
         if options["region"] not in self._manager.plan.regions:
-            raise Refused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
+            raise CommandRefused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
         age = options.get("started")
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         known = self._roster.version
         self._roster.add(
             server,
@@ -688,9 +704,9 @@
         )
         if self._roster.version == known:
             return "Already listed.\n"
-        self._manager.listing(self._roster.told(server))
+        self._manager.apply_list_change(self._roster.listing_of(server))
         return "New server registered.\n"
 
     def del_server(self, words: tuple[str, ...]) -> str:
-        self._manager.listing(self._roster.remove(self._name(words[2])))
+        self._manager.apply_list_change(self._roster.remove(self._name(words[2])))
         return "Server deleted.\n"
--- a/rushladder/service/logs.py
+++ b/rushladder/service/logs.py
@@ -8,14 +8,14 @@
 
 import structlog
 
-from rushladder.conf.objects import LogForm
+from rushladder.conf.objects import LogSettings
 
 
-def make_log(form: LogForm, **bound: Any) -> Any:
+def make_log(form: LogSettings, **bound: Any) -> Any:
     """Configures logging and returns a logger. bound: fields that are added to each line."""
     renderer = (
         structlog.processors.JSONRenderer()
-        if form.form == "json"
+        if form.format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -13,21 +13,21 @@
 import attrs
 from twisted.internet.defer import Deferred
 
-from rushladder.conf.objects import GatewaySite, Plan
+from rushladder.conf.objects import GatewayConfig, ManagerConfig
 from rushladder.core.host import Core
-from rushladder.core.reports import Reports
+from rushladder.core.traffic import TrafficSums
 from rushladder.core.roster import Roster
 from rushladder.dnsfront.front import Front
-from rushladder.gateways.driver import GatewayDriver, Log, Times
-from rushladder.gateways.holding import Holding, Stand, spans
+from rushladder.gateways.driver import GatewayDriver, Log, DriverTimes
+from rushladder.gateways.election import HolderElection, HolderState, lease_and_settle_times
 from rushladder.guard.waves import Effect
-from rushladder.intake.desk import Desk
-from rushladder.interface import Event, Listing, PeerWord, Probed, ProbeResult
+from rushladder.intake.processor import ReportProcessor
+from rushladder.interface import Event, Listing, PeerMessage, Probed, ProbeResult
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient
-from rushladder.service.remembering import Remembering
+from rushladder.service.persistence import Persistence
 from rushladder.store.commands import Journal
-from rushladder.timing import TENTHS, Call, Clock, tenths
+from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
 PERIOD = 1.0  # s between two sums of reports: the module's bucket of time
 ERRORS_KEPT = 100  # lines of `show errors`: an hour of one fault every half minute
@@ -78,15 +78,15 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: ManagerConfig,
         clock: Clock,
-        connect: Callable[[GatewaySite, RuntimeClient], Deferred[Any]],
+        connect: Callable[[GatewayConfig, RuntimeClient], Deferred[Any]],
         prober: Prober | None,
         log: Log,
         restored: str = "",
         away: float = 0.0,
         wall: Callable[[], float] = time.time,
-        memory: Remembering | None = None,
+        memory: Persistence | None = None,
     ) -> None:
         self.plan, self.clock, self._log, self._prober = plan, clock, log, prober
         self._random = Random(plan.identity.seed * 1000 + plan.identity.number)
@@ -95,10 +95,10 @@
         self.roster, self.memory = Roster(), memory
         self.journal = memory.journal if memory is not None else Journal()
         self.replaced: Callable[[], None] = lambda: None
-        now = tenths(clock)
+        now = clock_tenths(clock)
         if memory is not None:
             restored, away = memory.list()
-        self.restored = bool(restored) and self.roster.load(restored, now, int(away * TENTHS))
+        self.restored = bool(restored) and self.roster.load(restored, now, int(away * TENTHS_PER_SECOND))
         if restored and not self.restored:
             self.fault("the list kept from before is not whole, and was passed over")
         for site in plan.collectors if not self.restored else ():
@@ -117,8 +117,8 @@
             if (listed := self.roster.listed.get(site.name)) is not None:
                 listed.limit, listed.connections = site.limit, site.connections
         self.saved = self.roster.version
-        self.reports, self.words = Reports(), deque[Words](maxlen=1)
-        self.desk, self.lanes = Desk(now, blind=plan.blind), list[Reading]()
+        self.reports, self.words = TrafficSums(), deque[Words](maxlen=1)
+        self.desk, self.lanes = ReportProcessor(now, blind=plan.blind), list[Reading]()
         self._reporters()
         self.core = Core(
             plan.identity.seed * 1000 + plan.identity.number,
@@ -135,7 +135,7 @@
             gateways=[(site.name, site.region, site.usual_rate) for site in plan.gateways],
         )
         hold = plan.holding
-        lease, settle = spans(hold.poll)
+        lease, settle = lease_and_settle_times(hold.poll)
         self.drivers = [
             GatewayDriver(
                 clock,
@@ -143,19 +143,19 @@
                 Gateway(site.name, site.region, site.usual_rate),
                 self.core,
                 self.reports,
-                Holding(
+                HolderElection(
                     plan.identity.name,
                     plan.identity.region,
                     site.region if plan.peers else plan.identity.region,  # alone, it is at home everywhere
                     takeover=hold.takeover,
                     settle=settle,
                     lease=lease,
-                    highest=memory.epoch(site.name) if memory is not None else 0,
+                    highest_epoch=memory.epoch(site.name) if memory is not None else 0,
                 ),
-                Times(hold.poll / TENTHS, hold.patience / TENTHS),
+                DriverTimes(hold.poll / TENTHS_PER_SECOND, hold.patience / TENTHS_PER_SECOND),
                 self._random.random,
                 log,
-                self.give,
+                self.handle_events,
                 self.fault,
                 self.give_way,
             )
@@ -166,11 +166,11 @@
         if self.dns is not None:
             self._by_gateway |= {seat.gateway: seat for seat in self.dns.seats}
         if memory is not None:
-            memory.restore_guard(self.core.warden, now)
+            memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.desk)
             products = {product.name: product for product in plan.products}
             self.core.take(now, memory.recall(self.roster, products, now))
-        self._wake: Call | None = None
+        self._wake: DelayedCall | None = None
         self._probing = dict[Server, None]()
         self._stopped = False
 
@@ -180,7 +180,7 @@
         if self.dns is not None:
             self.dns.start()
         self._period()
-        self.give()
+        self.handle_events()
 
     def stop(self) -> None:
         """Gateways go on with the tables that they hold."""
@@ -191,55 +191,55 @@
             driver.stop()
         if self._wake is not None and self._wake.active():
             self._wake.cancel()
-        self._log.info("manager.stopped", gateways=len(self.core.ports))
+        self._log.info("manager.stopped", gateways=len(self.core.sessions))
 
     # Events in, orders out.
 
-    def give(self, *events: Event) -> None:
+    def handle_events(self, *events: Event) -> None:
         """One batch for the module, and what it ordered."""
         if self._stopped:
             return
         self.events += len(events)
-        self.core.take(tenths(self.clock), *events)
+        self.core.take(clock_tenths(self.clock), *events)
         self._orders()
 
     def _orders(self) -> None:
         probes, self.core.probes = self.core.probes, []
         for server in probes:
             self._probe(server)
-        words, self.core.words = self.core.words, []
+        words, self.core.peer_messages = self.core.peer_messages, []
         for data in words:
             for sender in self.words:
                 sender.send(data)
-        for port in self.core.take_ready():
+        for port in self.core.take_pending_sessions():
             self._by_gateway[port.gateway].kick()
         wake = self.core.next_wake()
         if wake is not None:
             if self._wake is not None and self._wake.active():
                 self._wake.cancel()
             self._wake = self.clock.callLater(
-                max(0.0, wake / TENTHS - self.clock.seconds()) + 1e-4, self.give
+                max(0.0, wake / TENTHS_PER_SECOND - self.clock.seconds()) + 1e-4, self.handle_events
             )
 
     def _period(self) -> None:
         if not self._stopped:
             self.beats += 1
             self.clock.callLater(PERIOD, self._period)
-            self.core.tell_demand()
-            effect = self.core.watch_wave(self.reports.take_met())
-            if effect is not Effect.NONE and self.core.warden.wave is not None:
-                wave = self.core.warden.wave
+            self.core.update_guard_demand()
+            effect = self.core.evaluate_wave(self.reports.take_arms())
+            if effect is not Effect.NONE and self.core.table_guard.wave is not None:
+                wave = self.core.table_guard.wave
                 self._log.info(
                     "wave",
                     version=wave.number,
                     effect=effect.value,
                     stage=wave.stage.value,
                     gateways=len(wave.changed),
-                    sure=round(wave.watch.sureness(), 4),
+                    sure=round(wave.test.probability_worse(), 4),
                 )
-            self.give(*self.reports.close(self._hints()), *self._came_by_name())
+            self.handle_events(*self.reports.take_events(self._hints()), *self._came_by_name())
             self._remember()
-            faults, self.core.warden.faults = self.core.warden.faults, []
+            faults, self.core.table_guard.order_errors = self.core.table_guard.order_errors, []
             for what in faults:
                 self.fault(what)
 
@@ -248,19 +248,19 @@
         if self.memory is None:
             return
         try:
-            learned, now = self.core.manager.learned(), tenths(self.clock)
-            self.memory.period(learned, self.roster, self.core.warden, self.desk, now)
+            learned, now = self.core.manager.learned_state(), clock_tenths(self.clock)
+            self.memory.period(learned, self.roster, self.core.table_guard, self.desk, now)
             for driver in self.drivers:
-                if driver.holding.stand is Stand.HOLDING:
-                    self.memory.held(driver.gateway.name, driver.holding.epoch)
+                if driver.election.state is HolderState.HOLDING:
+                    self.memory.held(driver.gateway.name, driver.election.epoch)
         except Exception as trouble:
             self.fault(f"what was learned could not be noted: {type(trouble).__name__}: {trouble}")
 
     def remember_changes(self) -> None:
         """The list and the operators' factors, at once: an answer says that they stand."""
         if self.memory is not None:
-            self.memory.listing(self.roster, tenths(self.clock))
-            self.memory.guard(self.core.warden)
+            self.memory.listing(self.roster, clock_tenths(self.clock))
+            self.memory.guard(self.core.table_guard)
 
     def give_way(self) -> None:
         """A later process of this manager's name steers: this one sends nothing more."""
@@ -283,9 +283,9 @@
             self.clock,
             wall,
             self._random.random,
-            self.give,
+            self.handle_events,
             plan.guarantee.drain_grace,
-            plan.channel.longest_way,
+            plan.channel.max_delay,
         )
 
     def _came_by_name(self) -> list[Event]:
@@ -293,21 +293,21 @@
         if self.dns is None:
             return []
         try:
-            return self.dns.period(self.desk.rates(tenths(self.clock)))
+            return self.dns.period(self.desk.rates(clock_tenths(self.clock)))
         except Exception as trouble:
             self.fault(f"the DNS front's period failed: {type(trouble).__name__}: {trouble}")
             return []
 
     def _hints(self) -> dict[str, float]:
         """What servers' own reports say, against what was measured; empty where none reports."""
-        now = tenths(self.clock)
+        now = clock_tenths(self.clock)
         if not self.desk.senders:
             return {}
-        seen = {name: listed.server.seen(now, 4) for name, listed in self.roster.listed.items()}
+        seen = {name: listed.server.recent_totals(now, 4) for name, listed in self.roster.listed.items()}
         settled, time = (sum(sums[k] for sums in seen.values()) for k in (2, 3))
         mean = time / settled if settled else 0.0
         latency = {name: sums[3] / sums[2] / mean for name, sums in seen.items() if sums[2] >= 5 and mean}
-        return self.desk.period(latency, now)
+        return self.desk.update_hints(latency, now)
 
     def _reporters(self) -> None:
         """Who may report, as the list and the configuration say."""
@@ -316,7 +316,7 @@
             self.desk.forget(name)
         for name, site in sites.items():
             if name in self.roster.listed:
-                self.desk.listed(name, site.reports_from or f"agent of {name}", site.token)
+                self.desk.register(name, site.reports_from or f"agent of {name}", site.token)
         for lane in self.lanes:
             lane.listed()
 
@@ -326,19 +326,19 @@
         if self._prober is None or listed is None or listed.server is not server or server in self._probing:
             return
         self._probing[server] = None
-        asked = tenths(self.clock)
+        asked = clock_tenths(self.clock)
 
         def done(result: Any) -> None:
             self._probing.pop(server, None)
             found = result if isinstance(result, ProbeResult) else ProbeResult.ERROR
-            self.give(Probed(server, found, tenths(self.clock) - asked))
+            self.handle_events(Probed(server, found, clock_tenths(self.clock) - asked))
 
         self._prober.probe(listed.address).addBoth(done)
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.give(PeerWord(peer, data))
+        self.handle_events(PeerMessage(peer, data))
 
-    def listing(self, event: Listing[Server] | None) -> None:
+    def apply_list_change(self, event: Listing[Server] | None) -> None:
         """A change of the list that the runtime API made."""
         if event is not None:
             self._log.info(
@@ -349,9 +349,9 @@
             self._reporters()
             if self.dns is not None:
                 self.dns.listing()
-            self.give(event)
+            self.handle_events(event)
             if self.memory is not None:
-                self.memory.listing(self.roster, tenths(self.clock))
+                self.memory.listing(self.roster, clock_tenths(self.clock))
 
     def told(self, event: str, **more: Any) -> None:
         """Logs what an operator's command did."""
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -26,9 +26,9 @@
 from rushladder.catalog.reader import AnswerError, Catalog
 from rushladder.catalog.watch import Watch
 from rushladder.conf.startup_settings import SettingsError, manager_arguments
-from rushladder.conf.objects import LogForm
+from rushladder.conf.objects import LogSettings
 from rushladder.core.workers import Workers
-from rushladder.interface import Event, PeerWord, Probed, ProbeResult
+from rushladder.interface import Event, PeerMessage, Probed, ProbeResult
 from rushladder.peers.raw_link import HostPort, RawPeerLink
 from rushladder.records import Server
 from rushladder.service.probing import Prober
@@ -38,7 +38,7 @@
 from rushladder.streams.codec import parse_load_report
 from rushladder.streams.listener import Listener
 from rushladder.streams.host import StreamHost
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 CONFIG_ENV, NAME_ENV, LISTEN_ENV, DISCOVERY_ENV = (
     "RELAY_CONFIG",
@@ -47,7 +47,7 @@
     "RELAY_DISCOVERY",
 )
 # The module's clock at the process's start: about a day, so that workers' earlier start times are positive.
-CLOCK_START_TENTHS = 100_000 * TENTHS
+CLOCK_START_TENTHS = 100_000 * TENTHS_PER_SECOND
 # Concurrent probes. With 64, 200 workers of which half are unreachable are probed within half a control
 # period, as a connection attempt takes at most 0.3 s. Where the proxies leave too few descriptors there are
 # fewer, but at least 16, so that 30 workers are probed in two rounds.
@@ -283,12 +283,12 @@
     # Clocks.
 
     def now(self) -> int:
-        return CLOCK_START_TENTHS + int((self._monotonic() - self._started) * TENTHS)
+        return CLOCK_START_TENTHS + int((self._monotonic() - self._started) * TENTHS_PER_SECOND)
 
     def from_unix_ms(self, unix_ms: float) -> int:
         """Converts a Unix time in milliseconds to the module's clock; 1 if it lies before the clock's
         zero."""
-        return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS / 1000))
+        return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS_PER_SECOND / 1000))
 
     # Batches: all events that were read in one turn of the reactor are handled together.
 
@@ -305,7 +305,7 @@
     def _on_wakeup(self) -> None:
         due = self.host.next_wakeup()
         if due is not None:
-            self._max_lateness = max(self._max_lateness, (self.now() - due) / TENTHS)
+            self._max_lateness = max(self._max_lateness, (self.now() - due) / TENTHS_PER_SECOND)
         backlog = self.host.manager.backlog()
         self._max_waits = [
             max(self._max_waits[0], backlog.joiner_waited),
@@ -323,7 +323,7 @@
             if due is not None:
                 if self._wakeup is not None and self._wakeup.active():
                     self._wakeup.cancel()
-                delay = max(0.0, (due - self.now()) / TENTHS) + 1e-4
+                delay = max(0.0, (due - self.now()) / TENTHS_PER_SECOND) + 1e-4
                 self._wakeup = self._reactor.callLater(delay, self._on_wakeup)
 
     def _probe(self, server: Server) -> None:
@@ -356,7 +356,7 @@
         self._probe_slots.run(begin).addBoth(done)
 
     def _peer_message_received(self, peer: int, data: bytes) -> None:
-        self.add_event(PeerWord(peer, data))
+        self.add_event(PeerMessage(peer, data))
 
     # Reload and figures.
 
@@ -478,7 +478,7 @@
 def main() -> int:
     """Serves until SIGTERM or SIGINT. Returns 2 after one log line if the configuration is invalid."""
     signals = Signals()
-    log = make_log(LogForm("json", "info"))
+    log = make_log(LogSettings("json", "info"))
     try:
         config = read_configuration(os.environ)
     except ConfigurationError as error:
--- a/rushladder/service/remembering.py
+++ b/rushladder/service/persistence.py
@@ -11,23 +11,23 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.core.roster import Roster
-from rushladder.guard.history import Refused, Version
-from rushladder.guard.warden import Warden
-from rushladder.intake.desk import Desk
-from rushladder.interface import Learned, Product, Remembered
+from rushladder.guard.history import RefusedChange, Version
+from rushladder.guard.table_guard import TableGuard
+from rushladder.intake.processor import ReportProcessor
+from rushladder.interface import LearnedState, LearnedWorker, Product
 from rushladder.store.commands import Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
-    LEAP,
+    EPOCH_MARGIN,
     SECOND,
     Kind,
-    Known,
-    Notebook,
-    Sign,
-    Standing,
-    read,
-    recalled_demand,
-    recalled_trust,
+    ServerKnowledge,
+    ServerRecords,
+    Validity,
+    ListedServer,
+    parse_record,
+    recall_demand,
+    recall_trust,
 )
 from rushladder.store.store_pb2 import (
     CommandMemory,
@@ -46,14 +46,14 @@
 DEMAND_EVERY = 5  # periods between two records of demand: it is worth half after ten minutes
 
 
-class Remembering:
+class Persistence:
     """One manager's memory. wall: seconds; the clock is the manager's own."""
 
     def __init__(self, log: Log, writer: Writer, clock: Clock, wall: Callable[[], float]) -> None:
         self.log, self.writer, self._clock, self._wall = log, writer, clock, wall
         self.opened = log.opened
         self._kept = dict(log.state)
-        self.notebook = Notebook(self._kept)
+        self.notebook = ServerRecords(self._kept)
         now = self.now()
         commands = [(name, memory) for name, memory in self._all(Kind.COMMAND, CommandMemory)]
         self.journal = Journal(commands, now)
@@ -61,14 +61,16 @@
         self._epochs, self._trusts = dict[str, int](), dict[str, tuple[float, ...]]()
         self._listed, self._periods = -1, 0
         self._starts = dict[str, int]()
-        self.recalled, self.signs = 0, dict.fromkeys(Sign, 0)
+        self.recalled, self.signs = 0, dict.fromkeys(Validity, 0)
 
     def now(self) -> int:
         """Milliseconds of the wall clock."""
         return int(SECOND * self._wall())
 
     def _all(self, kind: Kind, message: Any) -> list[tuple[str, Any]]:
-        found = [(key, read(message, payload)) for (k, key), payload in self._kept.items() if k == kind]
+        found = [
+            (key, parse_record(message, payload)) for (k, key), payload in self._kept.items() if k == kind
+        ]
         return [(key, memory) for key, memory in found if memory is not None]
 
     # Back from the store.
@@ -84,19 +86,19 @@
     def epoch(self, gateway: str) -> int:
         """The least that the gateway's epochs were, and a leap for those that were lost with a tail."""
         payload = self._kept.get((Kind.GATEWAY, gateway))
-        memory = read(GatewayMemory, payload) if payload is not None else None
-        return memory.epoch + LEAP if memory is not None else 0
+        memory = parse_record(GatewayMemory, payload) if payload is not None else None
+        return memory.epoch + EPOCH_MARGIN if memory is not None else 0
 
-    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
+    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> LearnedState[Any]:
         """For the module. now: the manager's clock in tenths of a millisecond."""
         wall = self.now()
         standings = self._standings(roster, now)
-        self.signs = self.notebook.signs(standings, wall)
-        workers = list[Learned[Any]]()
+        self.signs = self.notebook.count_by_validity(standings, wall)
+        workers = list[LearnedWorker[Any]]()
         for known in self.notebook.recall(standings, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
             workers.append(
-                Learned(
+                LearnedWorker(
                     roster.listed[known.name].server,
                     known.pace,
                     known.factor,
@@ -108,13 +110,13 @@
         self.recalled = len(workers)
         demand = None
         for _, memory in self._all(Kind.DEMAND, DemandMemory):
-            demand = recalled_demand(memory, products, wall)
+            demand = recall_demand(memory, products, wall)
         if demand is None:
-            return Remembered(workers, 0.0)
+            return LearnedState(workers, 0.0)
         mix = {products[name]: part for name, part in demand.mix.items()}
-        return Remembered(workers, PER_MS * demand.quiet, mix)
+        return LearnedState(workers, PER_MS * demand.quiet, mix)
 
-    def restore_guard(self, warden: Warden, now: int) -> None:
+    def restore_guard(self, table_guard: TableGuard, now: int) -> None:
         """Versions of the operators' factors, what was refused, and a wave under way taken back."""
         wall = self.now()
         versions, stands = list[Version](), 0
@@ -126,16 +128,16 @@
             if memory.stands:
                 stands = memory.parent if memory.waving else memory.number
         refused = [
-            Refused(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
+            RefusedChange(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
             for _, memory in sorted(self._all(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at)
         ]
-        warden.history.restore(versions, stands, refused)
-        self._refused = warden.history.refusals
+        table_guard.history.restore(versions, stands, refused)
+        self._refused = table_guard.history.refusal_count
 
-    def restore_trust(self, desk: Desk) -> None:
+    def restore_trust(self, desk: ReportProcessor) -> None:
         wall = self.now()
         for name, memory in self._all(Kind.TRUST, TrustMemory):
-            found = recalled_trust(memory, desk.hints.doubt, wall)
+            found = recall_trust(memory, desk.hints.prior, wall)
             if found is not None and name in desk.senders:
                 desk.hints.restore(name, *found)
 
@@ -152,15 +154,17 @@
             for name, one in roster.listed.items():
                 before = self._starts.get(name, one.started_at)
                 self._starts[name] = one.started_at
-                if one.started_at != before and (payload := self.notebook.started(name, self.now())):
+                if one.started_at != before and (
+                    payload := self.notebook.record_cold_start(name, self.now())
+                ):
                     self.writer.put(Kind.SERVER, name, payload)
             for name in self._starts.keys() - roster.listed.keys():
                 del self._starts[name]
             self._put(Kind.LIST, "list", ListMemory(at=self.now(), text=roster.dump(now)))
 
-    def guard(self, warden: Warden) -> None:
-        history, wave = warden.history, warden.wave
-        waving = wave.number if wave is not None and not wave.over else -1
+    def guard(self, table_guard: TableGuard) -> None:
+        history, wave = table_guard.history, table_guard.wave
+        waving = wave.number if wave is not None and not wave.finished else -1
         seen = dict[int, tuple[str, bool, bool]]()
         for version in history.all():
             if not version.number:
@@ -177,38 +181,45 @@
             memory = RefusedMemory(at=self.now(), who=refused.who, what=refused.what)
             self._put(Kind.REFUSED, str(self._refused % 200), memory)
 
-    def period(self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int) -> None:
+    def period(
+        self,
+        learned: LearnedState[Any],
+        roster: Roster,
+        table_guard: TableGuard,
+        desk: ReportProcessor,
+        now: int,
+    ) -> None:
         """Once a period: what has moved enough to be worth a record."""
         wall = self.now()
         servers = [
-            Known(
+            ServerKnowledge(
                 one.worker.name,
                 one.worker.zone,
                 one.worker.model,
-                one.pace,
+                one.speed,
                 one.factor,
-                one.heard,
-                one.out_for // PER_MS,
-                wall + (one.out_until - now) // PER_MS if one.out_until else 0,
+                one.report_count,
+                one.exclusion_time // PER_MS,
+                wall + (one.excluded_until - now) // PER_MS if one.excluded_until else 0,
             )
             for one in learned.workers
         ]
-        for name, payload in self.notebook.learned(servers, wall):
+        for name, payload in self.notebook.update(servers, wall):
             self.writer.put(Kind.SERVER, name, payload)
-        for name in self.notebook.forget(set(self.notebook.known()) - roster.listed.keys()):
+        for name in self.notebook.forget(set(self.notebook.names()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
         self._periods += 1
-        if self._periods % DEMAND_EVERY == 0 and learned.quiet:
+        if self._periods % DEMAND_EVERY == 0 and learned.calm_latency:
             mix = {product.name: part for product, part in learned.mix.items()}
-            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.quiet / PER_MS, mix=mix))
+            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.calm_latency / PER_MS, mix=mix))
             self._trust(desk, wall)
-        self.guard(warden)
+        self.guard(table_guard)
         self.listing(roster, now)
-        for name in self.journal.fade(wall):
+        for name in self.journal.expire(wall):
             self.writer.put(Kind.COMMAND, name, None)
 
-    def _trust(self, desk: Desk, wall: int) -> None:
-        found = desk.hints.trusts()
+    def _trust(self, desk: ReportProcessor, wall: int) -> None:
+        found = desk.hints.trust_sums()
         for name, figures in found.items():
             before = self._trusts.get(name)
             if before is None or max(abs(a - b) for a, b in zip(before, figures, strict=True)) > 0.02:
@@ -224,15 +235,15 @@
         self.writer.put(Kind.COMMAND, name, self.journal[name].payload())
 
     def sure(self) -> Deferred[None]:
-        return self.writer.sure()
+        return self.writer.flush()
 
     def _put(self, kind: Kind, key: str, message: Any) -> None:
         self.writer.put(kind, key, message.SerializeToString())
 
-    def _standings(self, roster: Roster, now: int) -> dict[str, Standing]:
+    def _standings(self, roster: Roster, now: int) -> dict[str, ListedServer]:
         wall = self.now()
         return {
-            name: Standing(
+            name: ListedServer(
                 one.server.zone,
                 one.server.model,
                 wall - (now - one.started_at) // PER_MS if one.started_at else 0,
--- a/rushladder/service/probing.py
+++ b/rushladder/service/probing.py
@@ -28,7 +28,7 @@
 
 def _status_result(code: int) -> ProbeResult:
     if code in REJECTED_STATUSES:
-        return ProbeResult.TURNED_AWAY
+        return ProbeResult.REJECTED
     return ProbeResult.OK if code < 400 else ProbeResult.ERROR
 
 
--- a/rushladder/streams/channel_meter.py
+++ b/rushladder/streams/channel_meter.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 
 class Purpose(Enum):
@@ -40,7 +40,7 @@
     tenths of a millisecond on the caller's clock."""
 
     def __init__(self, lines_per_s: float, message_overhead: float) -> None:
-        self._lines_per_tenth, self._overhead = lines_per_s / TENTHS, message_overhead
+        self._lines_per_tenth, self._overhead = lines_per_s / TENTHS_PER_SECOND, message_overhead
         self._queue, self._queue_at = 0.0, 0
         self._lines, self._messages, self._queue_max = dict.fromkeys(Purpose, 0.0), 0, 0.0
 
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -98,8 +98,8 @@
         # The last write times of each proxy, as many as the message cap; and the proxies that wait for the
         # cap, each with the time when it may be written.
         channel: Channel = manager_args["channel"]
-        self.channel_meter = ChannelMeter(channel.lines_per_s, channel.head)
-        self._message_cap, self._cap_window = channel.message_cap, channel.cap_span + CAP_MARGIN_TENTHS
+        self.channel_meter = ChannelMeter(channel.lines_per_s, channel.message_overhead)
+        self._message_cap, self._cap_window = channel.message_cap, channel.cap_window + CAP_MARGIN_TENTHS
         self._write_times, self._delayed_until = dict[int, deque[int]](), dict[JoinedProxy, int]()
         self._part_cache = dict[Any, str]()  # per batch, as most parts go to all streams of a table
         self.manager = Manager(self, seed, **manager_args)
@@ -118,9 +118,9 @@
         for event in (*self._reminders.due(self._now), *events, None):
             try:
                 if event is not None:
-                    self.manager.take(event)
+                    self.manager.handle(event)
                 else:
-                    self.manager.close()
+                    self.manager.end_batch()
             except Exception as error:
                 errors.append(error)
         to_write, self._to_write = self._to_write, {}
@@ -159,7 +159,7 @@
             gateway = self._gateways[number] = Gateway(str(number), zone, weight)
         gateway.usual_rate = weight
         self.joined_proxies[number] = JoinedProxy(gateway, stream)
-        return [*events, Joined(gateway, fresh, keeps=not fresh)]
+        return [*events, Joined(gateway, fresh, keeps_withdrawals=not fresh)]
 
     def leave(self, number: int, stream: Stream) -> Left[Gateway] | None:
         """Removes a stream that has ended; returns the event for the next batch, or None if it was
@@ -301,7 +301,7 @@
     def _table(self, number: int) -> Table:
         return self._tables.setdefault(number, Table())
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
         new = worker not in table.lines
@@ -318,7 +318,7 @@
             if new and weight > 0 and (worker in self._withdrawn or worker in self._released):
                 joined.pending_withdrawals[worker] = None
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         table = self._table(tbl)
         table.lines.clear()
         table.levels.clear()
@@ -343,7 +343,7 @@
             if server in self._withdrawn or server in self._released:
                 joined.pending_withdrawals[server] = None
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
         (self._withdrawn.add if out else self._withdrawn.discard)(worker)
         if not out:
@@ -353,7 +353,7 @@
                 self._to_write[joined] = None
                 joined.pending_withdrawals[worker] = None
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         joined = self.joined_proxies.get(int(proxy.name))
         if joined is not None and joined.gateway is proxy:
             self._to_write[joined] = None
@@ -361,7 +361,7 @@
                 assert isinstance(worker, Server)
                 joined.pending_withdrawals[worker] = None
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for product in products or self.products:
             if tbl is None:
                 self._global_levels[product] = level, retry
@@ -381,14 +381,14 @@
         assert isinstance(worker, Server)
         self._queued_probes.append(worker)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self._peer_messages.append((peer, data))
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """Does nothing: the discovery agent on the manager's own machine is always watched, so that changes
         arrive without a request."""
 
-    def ask_list(self) -> None:
+    def request_list(self) -> None:
         """Does nothing, as for `watch`."""
 
     def wake(self, after: int, token: int) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -61,9 +61,9 @@
 )
 from rushladder.streams.host import StreamHost
 from rushladder.streams.listener import JOIN_TIMEOUT_SECONDS, Connection, Listener
-from tests.fakehost import ASK, PAY, SECOND, FakeHost
+from tests.fake_host import ASK, PAY, SECOND, FakeHost
 
-MANAGER_ARGS: dict[str, Any] = FakeHost().described
+MANAGER_ARGS: dict[str, Any] = FakeHost().manager_args
 ROOT = Path(__file__).parent.parent
 
 
@@ -294,7 +294,7 @@
         connection.dataReceived(b"ACK proxy=0 mark=1 took_ms=300\r\n")
         (answered,) = self.turn()
         assert isinstance(answered, Applied)
-        self.assertEqual((answered.number, answered.elapsed), (1, 3000))
+        self.assertEqual((answered.mark, answered.elapsed), (1, 3000))
         connection.dataReceived(b"ACK proxy=0 mark=1 took_ms=300\r\n")  # a repeated ACK is ignored
         self.assertEqual(self.turn(), [])
 
@@ -337,10 +337,10 @@
         tries, arrivals = self.turn()
         assert isinstance(tries, Tries) and isinstance(arrivals, Arrivals)
         self.assertEqual(
-            (tries.worker.name, tries.many, tries.voided, tries.mean, dict(tries.load)),
+            (tries.worker.name, tries.count, tries.voided, tries.mean_latency, dict(tries.load)),
             ("s1", 20, 1, 400, {"util": 0.5}),
         )
-        self.assertEqual((arrivals.product, arrivals.many, transport.lines()), (PAY, 3, []))
+        self.assertEqual((arrivals.product, arrivals.count, transport.lines()), (PAY, 3, []))
 
     def test_stream_with_a_protocol_error_leaves(self) -> None:
         connection, transport = self.join()
@@ -368,8 +368,8 @@
         worker = self.workers.get("s0")
         assert worker is not None
         for weight in range(1, 500):
-            self.host.weigh(0, worker, float(weight))
-        self.host.hold_back(worker, True)
+            self.host.set_weight(0, worker, float(weight))
+        self.host.set_withdrawn(worker, True)
         self.turn()
         self.assertEqual(transport.lines(), [])
         connection.resumeProducing()
@@ -382,7 +382,7 @@
         old.pauseProducing()
         worker = self.workers.get("s0")
         assert worker is not None
-        self.host.weigh(0, worker, 3.0)
+        self.host.set_weight(0, worker, 3.0)
         self.turn()
         transport.lines()
         _, new = self.join(0, fresh=0)
@@ -400,7 +400,7 @@
         assert worker is not None
         streams[0][0].pauseProducing()
         for weight in (3, 4):
-            self.host.weigh(0, worker, float(weight))
+            self.host.set_weight(0, worker, float(weight))
             self.turn()
             if weight == 3:
                 streams[0][0].resumeProducing()  # is written between two batches
@@ -423,13 +423,13 @@
         _, transport = self.join()
         self.turn()
         self.run_for(0.2)
-        self.host.hold_back(worker, True)
-        self.host.weigh(0, worker, 0.0)
+        self.host.set_withdrawn(worker, True)
+        self.host.set_weight(0, worker, 0.0)
         self.turn()
-        self.host.hold_back(worker, False)
+        self.host.set_withdrawn(worker, False)
         self.turn()
         transport.lines()
-        self.host.weigh(0, worker, 1.0)
+        self.host.set_weight(0, worker, 1.0)
         self.turn()
         self.assertEqual(transport.lines(), ["CONFIG undrop=s0 part=1", "CONFIG for=ask+pay rows=s0:1"])
 
@@ -439,8 +439,8 @@
         self.run_for(0.2)
         transport.lines()
         before = self.host.lines
-        self.host.gate(0, [ASK], 0.5, Retry.UNSENT)
-        self.host.gate(0, [PAY], 0.9, Retry.UNSENT)
+        self.host.set_level(0, [ASK], 0.5, Retry.UNSENT)
+        self.host.set_level(0, [PAY], 0.9, Retry.UNSENT)
         self.host.checkpoint(9, False)
         self.turn()
         self.assertEqual(
@@ -455,7 +455,7 @@
         self.run_for(0.2)
         transport.lines()
         for k in range(25_000):
-            self.host.weigh(
+            self.host.set_weight(
                 0, self.workers.entry(f"w{k}", "a", "m", 0, Availability.READY, 1.0, 0).worker, 1.0
             )
         self.host.checkpoint(9, False)
@@ -485,7 +485,7 @@
 
     def setUp(self) -> None:
         self.now, self.sent = 1000 * SECOND, list[int]()
-        self.host = StreamHost(7, FakeHost(cap=12).described, self.now, lambda *_: None, lambda *_: None)
+        self.host = StreamHost(7, FakeHost(cap=12).manager_args, self.now, lambda *_: None, lambda *_: None)
         catalog = Catalog(Workers(), lambda ms: 1, lambda *_: None)
         found = catalog.read_line(listing(1, *(entry(f"s{k}") for k in range(6))))
         assert found is not None
@@ -575,7 +575,7 @@
             self.join(number, "ab"[number % 2])
         self.turn()
         self.run_for(1)
-        names = {server.name: weight for server, weight in fake.lines(0).items()}
+        names = {server.name: weight for server, weight in fake.table_weights(0).items()}
         self.assertEqual({server.name for server in self.host._tables[0].lines}, set(names))
         self.assertEqual({s.name: round(w, 3) for s, w in self.host._tables[0].lines.items()}, names)
 
@@ -892,7 +892,7 @@
 
     def test_rejection_and_timeout_have_their_own_results(self) -> None:
         rejected = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        self.assertEqual(self.probe(rejected)[1], [(ProbeResult.TURNED_AWAY, b"")])
+        self.assertEqual(self.probe(rejected)[1], [(ProbeResult.REJECTED, b"")])
         self.assertEqual(self.probe(after=1.1)[1], [(ProbeResult.TIMED_OUT, b"")])
         incomplete = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nutil=0.6"
         _, found, transport = self.probe(incomplete, after=1.1)
@@ -912,7 +912,7 @@
             (b"", (ProbeResult.RESET, b"")),
             (b"HTTP/1.1 200 O", (ProbeResult.RESET, b"")),
             (b"HTTP/1.1 200 OK\r\n\r\nutil=0.6", (ProbeResult.OK, b"util=0.6")),
-            (b"HTTP/1.1 503 x\r\nContent-Length: 9\r\n\r\nu", (ProbeResult.TURNED_AWAY, b"u")),
+            (b"HTTP/1.1 503 x\r\nContent-Length: 9\r\n\r\nu", (ProbeResult.REJECTED, b"u")),
         ):
             with self.subTest(data):
                 reactor, found = MemoryReactorClock(), list[Any]()
@@ -939,7 +939,7 @@
         for data, expected in (
             (b"HTTP/1.1 200 OK\r\n", ProbeResult.OK),
             (b"HTTP/1.0 204\r\n", ProbeResult.OK),
-            (b"HTTP/1.1 503 x\r\n", ProbeResult.TURNED_AWAY),
+            (b"HTTP/1.1 503 x\r\n", ProbeResult.REJECTED),
             (b"HTTP/1.1 500 x\r\n", ProbeResult.ERROR),
             (b"+OK\r\n", ProbeResult.ERROR),
             (b"HTTP/1.1 2000\r\n", ProbeResult.ERROR),
@@ -1042,14 +1042,14 @@
             send = staticmethod(sent.append)
 
         joined = node.host.join(3, "a", 9.0, True, Stream())
-        take, failing_event = node.host.manager.take, Left(node.host.joined_proxies[3].gateway)
+        take, failing_event = node.host.manager.handle, Left(node.host.joined_proxies[3].gateway)
 
         def handle_or_raise(event: Event) -> None:
             if event is failing_event:
                 raise ZeroDivisionError
             take(event)
 
-        node.host.manager.take = handle_or_raise
+        node.host.manager.handle = handle_or_raise
         with self.assertRaises(ZeroDivisionError):
             node.host.process_batch(node.now(), [failing_event, *joined])
         node.host.process_batch(node.now() + SECOND)
