--- a/rushladder/service/logs.py
+++ b/rushladder/service/logs.py
@@ -11,11 +11,11 @@
 from rushladder.conf.objects import LogSettings
 
 
-def make_log(form: LogSettings, **bound: Any) -> Any:
+def make_log(settings: LogSettings, **bound: Any) -> Any:
     """Configures logging and returns a logger. bound: fields that are added to each line."""
     renderer = (
         structlog.processors.JSONRenderer()
-        if form.format == "json"
+        if settings.format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -24,7 +24,7 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             renderer,
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, form.level.upper())),
+        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, settings.level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
     return structlog.get_logger().bind(**bound)
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -389,7 +389,7 @@
         arrive without a request."""
 
     def request_list(self) -> None:
-        """Does nothing, as for `watch`."""
+        """Does nothing, as for `watch_list`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -31,11 +31,11 @@
         self.a.transport = self.transport_a  # type: ignore[assignment]
 
     def make_link(self, name: str, other: str) -> PeerLink:
-        site = PeerConfig(other, int(other[1]), Address(host="127.0.0.1", port=1))
+        config = PeerConfig(other, int(other[1]), Address(host="127.0.0.1", port=1))
         return PeerLink(
             name,
             5,
-            {other: site},
+            {other: config},
             self.clock,
             lambda peer, data: self.received.append((peer, data)),
             self.errors.append,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1042,12 +1042,12 @@
             send = staticmethod(sent.append)
 
         joined = node.host.join(3, "a", 9.0, True, Stream())
-        take, failing_event = node.host.manager.handle, Left(node.host.joined_proxies[3].gateway)
+        handle, failing_event = node.host.manager.handle, Left(node.host.joined_proxies[3].gateway)
 
         def handle_or_raise(event: Event) -> None:
             if event is failing_event:
                 raise ZeroDivisionError
-            take(event)
+            handle(event)
 
         node.host.manager.handle = handle_or_raise
         with self.assertRaises(ZeroDivisionError):
