--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -23,21 +23,21 @@
 from twisted.logger import ILogObserver, LogLevel, globalLogBeginner
 from zope.interface import provider
 
+from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS, numeric_agent
 from rushladder.catalog.reader import AnswerError, Catalog
 from rushladder.catalog.watch import Watch
-from rushladder.conf.startup_settings import SettingsError, manager_arguments
 from rushladder.conf.objects import LogSettings
+from rushladder.conf.startup_settings import SettingsError, manager_arguments
 from rushladder.core.workers import Workers
 from rushladder.interface import Event, PeerMessage, Probed, ProbeResult
 from rushladder.peers.raw_link import HostPort, RawPeerLink
 from rushladder.records import Server
-from rushladder.service.probing import Prober
 from rushladder.service.logs import make_log
+from rushladder.service.probing import Prober
 from rushladder.service.throttled_log import ThrottledLog
-from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS, numeric_agent
 from rushladder.streams.codec import parse_load_report
-from rushladder.streams.listener import Listener
 from rushladder.streams.host import StreamHost
+from rushladder.streams.listener import Listener
 from rushladder.timing import TENTHS_PER_SECOND
 
 CONFIG_ENV, NAME_ENV, LISTEN_ENV, DISCOVERY_ENV = (
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -41,8 +41,8 @@
     Tries,
 )
 from rushladder.peers.raw_link import RawPeerLink
-from rushladder.service.probing import Prober
 from rushladder.service.node import ConfigurationError, Node, read_configuration
+from rushladder.service.probing import Prober
 from rushladder.service.throttled_log import MAX_KINDS, REPEAT_INTERVAL_SECONDS, ThrottledLog
 from rushladder.standins import platform
 from rushladder.standins.platform import configuration
