--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -34,7 +34,7 @@
     def abort(self) -> None: ...
 
 
-class Table:
+class SharedTable:
     """One shared table, and the proxies bound to it."""
 
     def __init__(self) -> None:
@@ -47,14 +47,17 @@
 
     def __init__(self, gateway: Gateway, stream: Stream) -> None:
         self.gateway, self.stream, self.paused = gateway, stream, False
-        self.tables = dict[Product, Table]()
+        self.tables = dict[Product, SharedTable]()
         self.unanswered_marks = dict[int, None]()  # written and not yet acknowledged
         self.clear_pending()
 
     def clear_pending(self) -> None:
-        self.pending_bindings, self.pending_rows = dict[Table, None](), dict[Table, dict[Server, None]]()
+        self.pending_bindings, self.pending_rows = (
+            dict[SharedTable, None](),
+            dict[SharedTable, dict[Server, None]](),
+        )
         self.pending_levels, self.pending_withdrawals = (
-            dict[Table, dict[Product, None]](),
+            dict[SharedTable, dict[Product, None]](),
             dict[Server, None](),
         )
         self.pending_mark: int | None = None
@@ -86,7 +89,7 @@
         send_to_peer: Callable[[int | None, bytes], None],
     ) -> None:
         self._now, self._send_probe, self._send_to_peer = now, probe, send_to_peer
-        self._reminders, self._tables = Reminders(), dict[int, Table]()
+        self._reminders, self._tables = Reminders(), dict[int, SharedTable]()
         self.products: Sequence[Product] = manager_args["products"]
         # Weak: an entry goes when the module, the tables and the list have all dropped the server.
         self._withdrawn, self._released = WeakSet[Server](), WeakSet[Server]()
@@ -261,7 +264,7 @@
 
     def _format_part(
         self,
-        table: Table,
+        table: SharedTable,
         names: Sequence[str],
         replace: bool,
         servers: Sequence[Server],
@@ -274,7 +277,7 @@
             self._part_cache[key] = format_config(names, replace, rows, gate)
         return self._part_cache[key]
 
-    def _effective_level(self, table: Table, product: Product) -> tuple[float, int] | None:
+    def _effective_level(self, table: SharedTable, product: Product) -> tuple[float, int] | None:
         """The lower of the table's level and the global one, with the retry mode of the table if it has
         one."""
         own, common = table.levels.get(product), self._global_levels.get(product)
@@ -298,8 +301,8 @@
     def now(self) -> int:
         return self._now
 
-    def _table(self, number: int) -> Table:
-        return self._tables.setdefault(number, Table())
+    def _table(self, number: int) -> SharedTable:
+        return self._tables.setdefault(number, SharedTable())
 
     def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -54,9 +54,8 @@
         self.assertIs(inbox.accept("p", 5, 900, 0), Verdict.NEW)
         self.assertIs(inbox.accept("p", 6, 1, 10), Verdict.NEW)
         self.assertIs(inbox.accept("p", 5, 901, 20), Verdict.LATE)
-        self.assertIs(
-            inbox.accept("p", 5, 1, 20 + CLOCK_SET_BACK_TENTHS), Verdict.NEW
-        )  # the peer's clock was set back
+        # The peer's clock was set back.
+        self.assertIs(inbox.accept("p", 5, 1, 20 + CLOCK_SET_BACK_TENTHS), Verdict.NEW)
 
     def test_foreign_and_too_long_messages_are_reported_and_dropped(self) -> None:
         unknown_peer = Word(mark=MAGIC, manager="m9", boot=1, number=1, data=b"x").SerializeToString()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -751,9 +751,8 @@
         )
         self.discovery.respond()
         self.assertEqual(self.discovery.closed, [True, False])
-        self.discovery.bodies[0].dataReceived(
-            listing(11, entry("b")) + b"\n"
-        )  # ignored: the new watch is open
+        # Too late, as the new watch is open: ignored.
+        self.discovery.bodies[0].dataReceived(listing(11, entry("b")) + b"\n")
         self.discovery.bodies[0].connectionLost()
         self.clock.advance(1)
         self.assertEqual((len(self.discovery.requested_urls), self.catalog.version), (2, 10))
@@ -793,12 +792,10 @@
                 self.discovery.respond()
                 self.discovery.bodies[-1].dataReceived(b'{"version":4,"full":true,"serv\n')
             self.clock.advance(0.05)
-        self.assertLess(
-            len(self.discovery.requested_urls), 20
-        )  # the delay doubles from 0.1 s to 1 s, less the jitter
-        self.assertLessEqual(
-            len(self.warnings), len(self.discovery.requested_urls)
-        )  # at most one warning per request
+        # The delay doubles from 0.1 s to 1 s, less the jitter.
+        self.assertLess(len(self.discovery.requested_urls), 20)
+        # At most one warning per request.
+        self.assertLessEqual(len(self.warnings), len(self.discovery.requested_urls))
 
     def test_valid_line_before_a_malformed_one_does_not_reset_the_delay(self) -> None:
         """A valid line alone doesn't reset the delay; a second of valid lines does."""
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -515,9 +515,8 @@
         manager.assert_clean_exit()
         worker.sock.settimeout(0.1)
         self.discovery = ManualListener(self)
-        taken_over = (
-            self.manager(*workers).start_and_wait().connect().join(3, fresh=0)
-        )  # without probes: s-0 counts as healthy
+        # Without probes, s-0 counts as healthy.
+        taken_over = self.manager(*workers).start_and_wait().connect().join(3, fresh=0)
         self.assertIn("s-0:", taken_over.until("rows="))
         self.assertIn("s-0", taken_over.until("undrop=").partition("undrop=")[2])
 
