--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -5,7 +5,7 @@
 
 import time
 
-from rushladder.runtime.grammar import AnswerParser, Command, CommandParser, write
+from rushladder.runtime.grammar import AnswerParser, Command, CommandParser, encode_commands
 
 MANY = 60_000
 
@@ -17,7 +17,7 @@
 def parsed(joined: int) -> float:
     """Commands a second that the server's side reads, `joined` of them in a line."""
     commands = [Command(("set", "server", f"collect/c{k % 99}", "weight", str(k % 257))) for k in range(MANY)]
-    data = b"".join(write(commands[k : k + joined]) for k in range(0, MANY, joined))
+    data = b"".join(encode_commands(commands[k : k + joined]) for k in range(0, MANY, joined))
     parser, found, began = CommandParser(), 0, time.process_time()
     for place in range(0, len(data), 8192):
         found += sum(
@@ -32,7 +32,7 @@
     commands = [Command(("set", "server", f"collect/c{k % 99}", "weight", str(k % 257))) for k in range(MANY)]
     began = time.process_time()
     for place in range(0, MANY, joined):
-        write(commands[place : place + joined])
+        encode_commands(commands[place : place + joined])
     return rate(MANY, began)
 
 
--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -21,7 +21,7 @@
 from twisted.internet import reactor as _reactor
 
 from benchmarks.fleet import Quiet, plan
-from rushladder.conf.reader import read
+from rushladder.conf.reader import parse_config
 from rushladder.dnsfront.answers import Asked, Chosen
 from rushladder.dnsfront.front import Front
 from rushladder.dnsfront.ports import Datagrams
@@ -108,7 +108,7 @@
         try:
             time.sleep(2.5)
             text = plan(folder, GATEWAYS, SERVERS) + "\n" + ZONE
-            measure(rate, seconds, simple, Manager(read(text, "plan"), reactor, dial, None, Quiet()))
+            measure(rate, seconds, simple, Manager(parse_config(text, "plan"), reactor, dial, None, Quiet()))
         finally:
             gateways.kill()
             gateways.wait()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,7 @@
 from hdrh.histogram import HdrHistogram
 from twisted.internet import reactor as _reactor
 
-from rushladder.conf.reader import read
+from rushladder.conf.reader import parse_config
 from rushladder.core.host import Message
 from rushladder.gateways.difference import server_commands
 from rushladder.gateways.driver import GatewayDriver
@@ -106,7 +106,7 @@
             name = command.words[2]
             if command.words[0] == "add" and tuple(name.split("/")) in port.held.lines:
                 command = Command(("set", "server", name, "weight", "0"))
-            await client.ask(command)
+            await client.send(command)
         await super()._lines(client, message)
         return refused
 
@@ -129,7 +129,7 @@
         found = dict[str, float]()
         try:
             time.sleep(1.5 + many / 200)
-            manager = Manager(read(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
+            manager = Manager(parse_config(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
             if plain:
                 for driver in manager.drivers:
                     driver.__class__ = PlainDriver
@@ -145,7 +145,7 @@
                 now = tenths(reactor)
                 for k in range(0, servers, 5):
                     state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
-                    manager.listing(manager.roster.change(f"c{k}", now, availability=state))
+                    manager.apply_list_change(manager.roster.change(f"c{k}", now, availability=state))
 
             def collect() -> None:
                 for elapsed in manager.core.applied_in:
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -27,7 +27,7 @@
 
 from benchmarks.fleet import Quiet, plan
 from rushladder.conf.grammar import Address
-from rushladder.conf.reader import read
+from rushladder.conf.reader import parse_config
 from rushladder.intake.desk import Desk, Fate
 from rushladder.intake.gather import Gathering
 from rushladder.intake.lane import GATHER, Keeper, deal, open_door
@@ -35,7 +35,7 @@
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
 from rushladder.intake.ports import Streams
 from rushladder.service.manager import Manager
-from rushladder.service.run import AT_ONCE, dial
+from rushladder.service.run import UDP_READ_BUDGET, dial
 
 reactor: Any = _reactor
 GATEWAYS, SERVERS = 48, 100
@@ -132,7 +132,7 @@
         gateways = subprocess.Popen(command)
         try:
             time.sleep(2.0)
-            manager = Manager(read(fleet(folder), "plan"), reactor, dial, None, Quiet())
+            manager = Manager(parse_config(fleet(folder), "plan"), reactor, dial, None, Quiet())
             measure(rate, seconds, tcp, plain, turns, manager)
         finally:
             gateways.kill()
@@ -147,7 +147,7 @@
     door = open_door(Address(host="127.0.0.1", port=0))
     if plain:
         port = reactor.adoptDatagramPort(door.fileno(), socket.AF_INET, Plain(manager.desk))
-        port.maxThroughput = AT_ONCE
+        port.maxThroughput = UDP_READ_BUDGET
     else:
         keeper = Keeper(manager.desk, door, print)
         reactor.callWhenRunning(keeper.start)
--- a/rushladder/cli/main.py
+++ b/rushladder/cli/main.py
@@ -14,11 +14,11 @@
 
 from rushladder import __version__
 from rushladder.cli.store import store
-from rushladder.conf.grammar import Faulty, Unreadable, address
-from rushladder.conf.objects import Plan
-from rushladder.conf.reader import read
-from rushladder.runtime.client import ask
-from rushladder.runtime.grammar import AnswerTooLong, Command, split, table
+from rushladder.conf.grammar import InvalidConfig, InvalidValue, address
+from rushladder.conf.objects import ManagerConfig
+from rushladder.conf.reader import parse_config
+from rushladder.runtime.client import send_commands
+from rushladder.runtime.grammar import AnswerTooLong, Command, split_commands, parse_table
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -29,12 +29,12 @@
 main.add_command(store)
 
 
-def load(file: str) -> Plan:
+def load(file: str) -> ManagerConfig:
     """The plan of a file; prints every fault and leaves with 2 if there are any."""
     try:
-        return read(Path(file).read_text(), file)
-    except Faulty as faulty:
-        for fault in faulty.faults:
+        return parse_config(Path(file).read_text(), file)
+    except InvalidConfig as faulty:
+        for fault in faulty.errors:
             click.echo(str(fault), err=True)
     except (OSError, UnicodeDecodeError) as trouble:
         reason = trouble.strerror if isinstance(trouble, OSError) else "not text in UTF-8"
@@ -88,13 +88,13 @@
     """Sends COMMANDS, or the lines of standard input, to a runtime socket and prints the answers."""
     try:
         lines = list(commands) or sys.stdin.read().splitlines()
-        todo = [Command(words) for line in lines for words in split(line)]
+        todo = [Command(words) for line in lines for words in split_commands(line)]
         failed = False
-        for answer in ask(address(where), todo, patience):
-            rows = table(answer) or table(answer, None)
+        for answer in send_commands(address(where), todo, patience):
+            rows = parse_table(answer) or parse_table(answer, None)
             click.echo(json.dumps(rows) if as_json and rows else answer, nl=as_json and bool(rows))
             failed = failed or answer.startswith(("Unknown command", "Permission denied"))
-    except (Unreadable, ValueError, OSError, AnswerTooLong) as trouble:
+    except (InvalidValue, ValueError, OSError, AnswerTooLong) as trouble:
         click.echo(f"rushladder ctl: {where}: {trouble}", err=True)
         sys.exit(2)
     sys.exit(1 if failed else 0)
@@ -125,8 +125,8 @@
         draw = chart_maker()  # before the day is played: a missing package is told at once
     try:
         day = days.read_day(Path(file).read_text(), file)
-    except Faulty as faulty:
-        for fault in faulty.faults:
+    except InvalidConfig as faulty:
+        for fault in faulty.errors:
             click.echo(str(fault), err=True)
         sys.exit(2)
     except (OSError, UnicodeDecodeError) as trouble:
--- a/rushladder/conf/grammar.py
+++ b/rushladder/conf/grammar.py
@@ -20,12 +20,12 @@
 LINES_MOST = 200_000  # 100 directives for each of 2,000 gateways and collectors
 
 
-class Unreadable(ValueError):
+class InvalidValue(ValueError):
     """What was wrong with a value, and what is allowed."""
 
 
 @attrs.frozen(order=True)
-class Fault:
+class Diagnostic:
     """One fault of a configuration, printed as `file:line: what, and what is allowed`."""
 
     file: str
@@ -36,21 +36,21 @@
         return f"{self.file}:{self.line}: {self.what}"
 
 
-class Faulty(Exception):
+class InvalidConfig(Exception):
     """A configuration that can't be used, with all its faults in the order of their lines."""
 
-    def __init__(self, faults: Sequence[Fault]) -> None:
+    def __init__(self, faults: Sequence[Diagnostic]) -> None:
         super().__init__("\n".join(map(str, sorted(faults))))
-        self.faults = sorted(faults)
+        self.errors = sorted(faults)
 
 
 @attrs.frozen
 class Line:
-    place: int
+    number: int
     words: tuple[str, ...]
 
 
-def words(text: str) -> tuple[str, ...]:
+def tokenize(text: str) -> tuple[str, ...]:
     """The words of one line. Raises Unreadable for a quote that does not end.
 
     >>> words('path "/tmp/a b" # where')
@@ -76,28 +76,30 @@
                 break
         place += 1
     if quoted:
-        raise Unreadable('a quote (") is opened and not closed on this line')
+        raise InvalidValue('a quote (") is opened and not closed on this line')
     if started:
         found.append("".join(word))
     return tuple(found)
 
 
-def read_lines(text: str, file: str, faults: list[Fault]) -> Iterator[Line]:
+def read_lines(text: str, file: str, faults: list[Diagnostic]) -> Iterator[Line]:
     for place, raw in enumerate(text.splitlines(), 1):
         if place > LINES_MOST:
-            faults.append(Fault(file, place, f"the file goes on; {LINES_MOST} lines are allowed"))
+            faults.append(Diagnostic(file, place, f"the file goes on; {LINES_MOST} lines are allowed"))
             return
         if len(raw) > LINE_MOST:
-            faults.append(Fault(file, place, f"{len(raw)} characters; a line holds at most {LINE_MOST}"))
+            faults.append(Diagnostic(file, place, f"{len(raw)} characters; a line holds at most {LINE_MOST}"))
             continue
         if not raw.isprintable() and not raw.replace("\t", " ").isprintable():
-            faults.append(Fault(file, place, "holds control characters; text, blanks and tabs are allowed"))
+            faults.append(
+                Diagnostic(file, place, "holds control characters; text, blanks and tabs are allowed")
+            )
             continue
         try:
-            if found := words(raw):
+            if found := tokenize(raw):
                 yield Line(place, found)
-        except Unreadable as trouble:
-            faults.append(Fault(file, place, str(trouble)))
+        except InvalidValue as trouble:
+            faults.append(Diagnostic(file, place, str(trouble)))
 
 
 # Readers of values: a word in, the value out, or Unreadable with what is allowed.
@@ -105,13 +107,13 @@
 
 def name(word: str) -> str:
     if not re.fullmatch(r"[A-Za-z0-9_.:\-]{1,64}", word):
-        raise Unreadable(f"'{word[:80]}' is no name; 1 to 64 letters, digits and _ . : - are allowed")
+        raise InvalidValue(f"'{word[:80]}' is no name; 1 to 64 letters, digits and _ . : - are allowed")
     return word
 
 
-def text(word: str) -> str:
+def non_empty(word: str) -> str:
     if not word:
-        raise Unreadable("an empty word; text is needed")
+        raise InvalidValue("an empty word; text is needed")
     return word
 
 
@@ -119,14 +121,16 @@
     """A time with its unit (us, ms, s, m, h), in tenths of a millisecond."""
     match = re.fullmatch(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)", word)
     if not match or float(match[1]) * UNITS[match[2]] > 24 * UNITS["h"]:
-        raise Unreadable(f"'{word}' is no time; a number and its unit (us, ms, s, m, h) up to 24h is allowed")
+        raise InvalidValue(
+            f"'{word}' is no time; a number and its unit (us, ms, s, m, h) up to 24h is allowed"
+        )
     return round(float(match[1]) * UNITS[match[2]])
 
 
-def whole(least: int, most: int) -> Callable[[str], int]:
+def integer(least: int, most: int) -> Callable[[str], int]:
     def read(word: str) -> int:
         if not re.fullmatch(r"\d{1,12}", word) or not least <= int(word) <= most:
-            raise Unreadable(f"'{word}' is out of range; a whole number from {least} to {most} is allowed")
+            raise InvalidValue(f"'{word}' is out of range; a whole number from {least} to {most} is allowed")
         return int(word)
 
     return read
@@ -136,7 +140,7 @@
     def read(word: str) -> float:
         bare = word.removesuffix(suffix) if suffix else word
         if not re.fullmatch(r"\d{1,9}(\.\d{1,9})?", bare) or not least <= float(bare) <= most:
-            raise Unreadable(
+            raise InvalidValue(
                 f"'{word}' is out of range; a number from {least:g} to {most:g}"
                 + (f", with '{suffix}' behind it," if suffix else "")
                 + " is allowed"
@@ -146,18 +150,18 @@
     return read
 
 
-def part(word: str) -> float:
+def percentage(word: str) -> float:
     """A percentage, as a part of one."""
     match = re.fullmatch(r"(\d{1,3}(?:\.\d+)?)%", word)
     if not match or not 0 <= float(match[1]) <= 100:
-        raise Unreadable(f"'{word}' is no part; 0% to 100% is allowed")
+        raise InvalidValue(f"'{word}' is no part; 0% to 100% is allowed")
     return float(match[1]) / 100
 
 
 def one_of(choices: Mapping[str, Any]) -> Callable[[str], Any]:
     def read(word: str) -> Any:
         if word not in choices:
-            raise Unreadable(f"'{word}' is unknown; {', '.join(choices)} are allowed")
+            raise InvalidValue(f"'{word}' is unknown; {', '.join(choices)} are allowed")
         return choices[word]
 
     return read
@@ -186,15 +190,15 @@
     """An IPv4 or IPv6 address without a port."""
     if re.fullmatch(r"\d{1,3}(?:\.\d{1,3}){3}|[0-9a-fA-F:]{2,39}", word):
         return word
-    raise Unreadable(f"'{word}' is no address; an IPv4 or IPv6 address without a port is allowed")
+    raise InvalidValue(f"'{word}' is no address; an IPv4 or IPv6 address without a port is allowed")
 
 
-def prefix(word: str) -> str:
+def network(word: str) -> str:
     """A network, as ADDRESS/LENGTH."""
     try:
         return str(ip_network(word))
     except ValueError:
-        raise Unreadable(
+        raise InvalidValue(
             f"'{word[:80]}' is no network; ADDRESS/LENGTH, no bits beyond it, is allowed"
         ) from None
 
@@ -206,14 +210,14 @@
         re.fullmatch(r"[a-z0-9_]([a-z0-9_-]{0,61}[a-z0-9])?", x) for x in low.split(".")
     ):
         return low
-    raise Unreadable(f"'{word[:80]}' is no domain name; labels of letters, digits and - are allowed")
+    raise InvalidValue(f"'{word[:80]}' is no domain name; labels of letters, digits and - are allowed")
 
 
 def name_server(word: str) -> tuple[str, str]:
     """`NAME=ADDRESS`."""
     title, sign, where = word.partition("=")
     if not sign:
-        raise Unreadable(f"'{word[:80]}' is no name server; NAME=ADDRESS is allowed")
+        raise InvalidValue(f"'{word[:80]}' is no name server; NAME=ADDRESS is allowed")
     return domain(title), host(where)
 
 
@@ -221,14 +225,14 @@
     """A secret of 8 to 64 bytes, in hexadecimal."""
     if re.fullmatch(r"(?:[0-9a-fA-F]{2}){8,64}", word):
         return bytes.fromhex(word)
-    raise Unreadable("a token that can't be read; 16 to 128 hexadecimal digits are allowed")
+    raise InvalidValue("a token that can't be read; 16 to 128 hexadecimal digits are allowed")
 
 
 def inet(word: str) -> Address:
     match = re.fullmatch(r"(\d{1,3}(?:\.\d{1,3}){3}|\[[0-9a-fA-F:.]+\]):(\d{1,5})", word)
     if match and 0 < int(match[2]) < 65_536 and all(int(b) < 256 for b in match[1].split(".") if b.isdigit()):
         return Address(host=match[1].strip("[]"), port=int(match[2]))
-    raise Unreadable(
+    raise InvalidValue(
         f"'{word}' is no address; ADDRESS:PORT, or unix@PATH of up to 100 bytes where a UNIX socket "
         "will do, is allowed"
     )
--- a/rushladder/conf/objects.py
+++ b/rushladder/conf/objects.py
@@ -13,10 +13,10 @@
 
 
 @attrs.frozen
-class LogForm:
+class LogSettings:
     """How the log is written: `json` or `console`, and the least level."""
 
-    form: str = "json"
+    format: str = "json"
     level: str = "info"
 
 
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class GatewaySite:
+class GatewayConfig:
     """Where a gateway's runtime socket is, and what usually comes to it (txns a second)."""
 
     name: str
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class CollectorSite:
+class CollectorConfig:
     """A collector as first listed. limit: txns a second from this manager's gateways; 0: none stated."""
 
     name: str
@@ -59,14 +59,14 @@
 
 
 @attrs.frozen
-class PeerSite:
+class PeerConfig:
     name: str
     number: int
     address: Address
 
 
 @attrs.frozen
-class DnsSite:
+class DnsConfig:
     """The zone that this manager answers for. hosts: name servers' names and addresses; named: servers of an
     answer, at least; usual: txns a second of DNS clients; by_load: the split follows load, not answers;
     clients: the prefixes of each region's clients."""
@@ -75,10 +75,10 @@
     address: Address
     hosts: Mapping[str, Sequence[str]]
     mailbox: str
-    named: int = 2
-    usual: float = 10.0
+    min_servers: int = 2
+    usual_rate: float = 10.0
     secret: bytes = b""
-    by_load: bool = True
+    split_by_load: bool = True
     clients: Mapping[str, Sequence[str]] = attrs.field(factory=dict)
 
 
@@ -105,10 +105,10 @@
 
 
 @attrs.frozen
-class Plan:
+class ManagerConfig:
     """A whole configuration."""
 
-    log: LogForm
+    log: LogSettings
     identity: Identity
     regions: tuple[str, ...]
     products: tuple[Product, ...]
@@ -120,11 +120,11 @@
     list_file: str
     blind: bool  # load reports are taken at their word; for measuring
     guard: str  # on, no-waves (admission only) or off; the last two are for measuring
-    gateways: tuple[GatewaySite, ...]
-    collectors: tuple[CollectorSite, ...]
-    peers: tuple[PeerSite, ...]
+    gateways: tuple[GatewayConfig, ...]
+    collectors: tuple[CollectorConfig, ...]
+    peers: tuple[PeerConfig, ...]
     peer_listener: Address | None
     listeners: tuple[Listener, ...]
     report_listeners: tuple[tuple[str, Address], ...] = ()  # `udp` or `tcp`, and where
-    dns: DnsSite | None = None
+    dns: DnsConfig | None = None
     memory: str = ""  # the folder where what was learned is kept
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -10,10 +10,10 @@
 
 from rushladder.conf.grammar import (
     Address,
-    Fault,
-    Faulty,
+    Diagnostic,
+    InvalidConfig,
     Line,
-    Unreadable,
+    InvalidValue,
     address,
     domain,
     duration,
@@ -23,23 +23,23 @@
     name_server,
     number,
     one_of,
-    part,
-    prefix,
+    percentage,
+    network,
     read_lines,
-    text,
+    non_empty,
     token,
-    whole,
+    integer,
 )
 from rushladder.conf.objects import (
-    CollectorSite,
-    DnsSite,
-    GatewaySite,
+    CollectorConfig,
+    DnsConfig,
+    GatewayConfig,
     Holding,
     Identity,
     Listener,
-    LogForm,
-    PeerSite,
-    Plan,
+    LogSettings,
+    PeerConfig,
+    ManagerConfig,
 )
 from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat
 from rushladder.runtime.endpoint import Level
@@ -79,7 +79,7 @@
                 {"level": one_of({k: k for k in ("debug", "info", "warning", "error")})},
                 usage="log json|console [level L]",
             ),
-            "seed": Directive((whole(0, 2**31),), usage="seed NUMBER"),
+            "seed": Directive((integer(0, 2**31),), usage="seed NUMBER"),
         },
         named=False,
         once=True,
@@ -87,19 +87,19 @@
     "manager": Section(
         {
             "region": Directive((name,), needed=True, usage="region NAME"),
-            "list-file": Directive((text,), usage="list-file PATH"),
-            "memory": Directive((text,), usage="memory DIRECTORY"),
+            "list-file": Directive((non_empty,), usage="list-file PATH"),
+            "memory": Directive((non_empty,), usage="memory DIRECTORY"),
             "bare": Directive((duration,), usage="bare TIME"),
             "grace": Directive((duration,), usage="grace TIME"),
-            "cold": Directive((duration,), {"from": part}, usage="cold TIME from PART"),
+            "cold": Directive((duration,), {"from": percentage}, usage="cold TIME from PART"),
             "fall": Directive((number(1, 100, "x"),), {"for": duration}, usage="fall MULTIPLEx for TIME"),
             "channel-lines": Directive((number(1, 1e6, "/s"),), usage="channel-lines RATE/s"),
-            "channel-waiting": Directive((whole(10, 10_000_000),), usage="channel-waiting LINES"),
+            "channel-waiting": Directive((integer(10, 10_000_000),), usage="channel-waiting LINES"),
             "channel-head": Directive((number(0, 100),), usage="channel-head LINES"),
             "channel-way": Directive(
                 (duration,), {"longest": duration}, usage="channel-way TIME longest TIME"
             ),
-            "messages": Directive((whole(4, 100_000),), {"per": duration}, usage="messages COUNT per TIME"),
+            "messages": Directive((integer(4, 100_000),), {"per": duration}, usage="messages COUNT per TIME"),
             "levels": Directive((one_of(UNITS),), usage="levels ratio|rate|off"),
             "probes": Directive((one_of(SWITCH),), usage="probes on|off"),
             "reports-trust": Directive(
@@ -112,13 +112,13 @@
         },
         once=True,
     ),
-    "region": Section({"clients": Directive((prefix,), many=True, usage="clients ADDRESS/LENGTH...")}),
+    "region": Section({"clients": Directive((network,), many=True, usage="clients ADDRESS/LENGTH...")}),
     "dns": Section(
         {
             "bind": Directive((inet,), needed=True, usage="bind ADDRESS:PORT"),
             "ns": Directive((name_server,), many=True, needed=True, usage="ns NAME=ADDRESS..."),
             "mailbox": Directive((domain,), usage="mailbox NAME"),
-            "named": Directive((whole(1, 8),), usage="named COUNT"),
+            "named": Directive((integer(1, 8),), usage="named COUNT"),
             "usual": Directive((number(0, 1e6, "/s"),), usage="usual RATE/s"),
             "secret": Directive((token,), usage="secret HEX"),
             "split": Directive((one_of({"load": True, "answers": False}),), usage="split load|answers"),
@@ -130,7 +130,7 @@
             "sla": Directive((duration,), needed=True, usage="sla TIME"),
             "expiry": Directive((duration,), needed=True, usage="expiry TIME"),
             "revenue": Directive((number(0, 1e6),), needed=True, usage="revenue NUMBER"),
-            "late": Directive((part,), usage="late PART"),
+            "late": Directive((percentage,), usage="late PART"),
             "repeat": Directive(
                 (one_of(REPEATS),),
                 {"window": duration, "group": one_of({k: k for k in ("all", "zone", "cell")})},
@@ -156,11 +156,11 @@
             "address": Directive((inet,), needed=True, usage="address ADDRESS:PORT"),
             "model": Directive((name,), usage="model NAME"),
             "size": Directive((number(0.001, 1000),), usage="size NUMBER"),
-            "cell": Directive((whole(0, 65_535),), usage="cell NUMBER"),
+            "cell": Directive((integer(0, 65_535),), usage="cell NUMBER"),
             "reports": Directive((host,), {"token": token}, usage="reports ADDRESS token HEX"),
             "agent": Directive((inet,), usage="agent ADDRESS:PORT"),
             "limit": Directive((number(0.1, 1e6, "/s"),), usage="limit RATE/s"),
-            "connections": Directive((whole(1, 10_000_000),), usage="connections COUNT"),
+            "connections": Directive((integer(1, 10_000_000),), usage="connections COUNT"),
         }
     ),
     "peer": Section({"address": Directive((inet,), needed=True, usage="address ADDRESS:PORT")}),
@@ -199,31 +199,31 @@
         return self.places.get(directive, self.place)
 
 
-def read(text_: str, file: str) -> Plan:
+def parse_config(text_: str, file: str) -> ManagerConfig:
     """The plan that a file's text describes. Raises Faulty with every fault found."""
-    faults = list[Fault]()
+    faults = list[Diagnostic]()
     found = _sections(text_, file, faults)
     plan = _plan(found, file, faults)
     if faults or plan is None:
-        raise Faulty(faults)
+        raise InvalidConfig(faults)
     return plan
 
 
-def _sections(text_: str, file: str, faults: list[Fault]) -> list[_Found]:
+def _sections(text_: str, file: str, faults: list[Diagnostic]) -> list[_Found]:
     found, open_, seen = list[_Found](), None, dict[tuple[str, str], int]()
     skipping = False
     for line in read_lines(text_, file, faults):
         head = line.words[0]
         # Within a gateway, say, `region` is a directive; a section's keyword stands at its line's start.
-        starts = head in SECTIONS and not text_.splitlines()[line.place - 1][:1].isspace()
+        starts = head in SECTIONS and not text_.splitlines()[line.number - 1][:1].isspace()
         if not starts:
             if open_ is not None:
                 _directive(open_, line, file, faults)
             elif not skipping:
                 faults.append(
-                    Fault(
+                    Diagnostic(
                         file,
-                        line.place,
+                        line.number,
                         f"'{head}' stands outside of a section; "
                         f"{', '.join(SECTIONS)} open one, at the start of a line",
                     )
@@ -233,62 +233,66 @@
         open_, skipping = None, True
         if len(line.words) != 1 + kind.named:
             faults.append(
-                Fault(file, line.place, f"'{head}' takes {'one name' if kind.named else 'no name'}")
+                Diagnostic(file, line.number, f"'{head}' takes {'one name' if kind.named else 'no name'}")
             )
             continue
         title = line.words[1] if kind.named else ""
         try:
             title = name(title) if kind.named else ""
-        except Unreadable as trouble:
-            faults.append(Fault(file, line.place, str(trouble)))
+        except InvalidValue as trouble:
+            faults.append(Diagnostic(file, line.number, str(trouble)))
             continue
         key = (head, "" if kind.once else title)
         if key in seen:
             faults.append(
-                Fault(
+                Diagnostic(
                     file,
-                    line.place,
+                    line.number,
                     f"a second '{' '.join(line.words)}'; the first stands on line "
                     f"{seen[key]}, one is allowed",
                 )
             )
             continue
-        seen[key] = line.place
-        open_ = _Found(head, title, line.place)
+        seen[key] = line.number
+        open_ = _Found(head, title, line.number)
         found.append(open_)
     for section in found:
         for word, directive in SECTIONS[section.kind].directives.items():
             if directive.needed and word not in section.values:
                 faults.append(
-                    Fault(file, section.place, f"{section.kind} {section.name} lacks '{directive.usage}'")
+                    Diagnostic(
+                        file, section.place, f"{section.kind} {section.name} lacks '{directive.usage}'"
+                    )
                 )
                 section.values[word] = []
     return found
 
 
-def _directive(section: _Found, line: Line, file: str, faults: list[Fault]) -> None:
+def _directive(section: _Found, line: Line, file: str, faults: list[Diagnostic]) -> None:
     head, known = line.words[0], SECTIONS[section.kind].directives
     if head not in known:
         allowed = ", ".join(known) or "no directive"
         faults.append(
-            Fault(file, line.place, f"'{head}' is unknown in {section.kind}; {allowed} are allowed")
+            Diagnostic(file, line.number, f"'{head}' is unknown in {section.kind}; {allowed} are allowed")
         )
         return
     shape = known[head]
     if head in section.places:
         faults.append(
-            Fault(
+            Diagnostic(
                 file,
-                line.place,
+                line.number,
                 f"a second '{head}'; the first stands on line {section.places[head]}, one is allowed",
             )
         )
         return
-    section.places[head] = line.place
+    section.places[head] = line.number
     section.values.setdefault(head, [])
     rest = list(line.words[1:])
     if len(rest) < len(shape.arguments):
-        faults.append(Fault(file, line.place, f"'{head}' lacks an argument; '{shape.usage}' is allowed"))
+        faults.append(
+            Diagnostic(file, line.number, f"'{head}' lacks an argument; '{shape.usage}' is allowed")
+        )
         return
     try:
         if shape.many:
@@ -299,13 +303,13 @@
         while rest:
             word = rest.pop(0)
             if word not in shape.options or word in options or not rest:
-                raise Unreadable(f"'{word}' can't stand here; '{shape.usage}' is allowed")
+                raise InvalidValue(f"'{word}' can't stand here; '{shape.usage}' is allowed")
             options[word] = shape.options[word](rest.pop(0))
-    except Unreadable as trouble:
-        faults.append(Fault(file, line.place, f"{head}: {trouble}"))
+    except InvalidValue as trouble:
+        faults.append(Diagnostic(file, line.number, f"{head}: {trouble}"))
 
 
-def _plan(found: Sequence[_Found], file: str, faults: list[Fault]) -> Plan | None:
+def _plan(found: Sequence[_Found], file: str, faults: list[Diagnostic]) -> ManagerConfig | None:
     def of(kind: str) -> list[_Found]:
         return [section for section in found if section.kind == kind]
 
@@ -314,7 +318,7 @@
             if value not in names:
                 allowed = ", ".join(sorted(names)) or f"none, as no {what} section stands in the file"
                 faults.append(
-                    Fault(
+                    Diagnostic(
                         file,
                         section.at(directive),
                         f"{directive}: no {what} '{value}'; {allowed} are allowed",
@@ -324,7 +328,7 @@
     for kind in ("manager", "region", "product"):
         if not of(kind):
             faults.append(
-                Fault(
+                Diagnostic(
                     file,
                     1,
                     f"no '{kind}' section; {'one' if kind == 'manager' else 'at least one'} is needed",
@@ -340,7 +344,7 @@
             known(section, "models", models, "collector's model")
         if section.one("sla") and section.one("expiry") and section.one("sla") > section.one("expiry"):
             faults.append(
-                Fault(
+                Diagnostic(
                     file,
                     section.at("sla"),
                     "the SLA time is longer than the expiry; at most the expiry is allowed",
@@ -349,11 +353,11 @@
     for section in of("manager"):
         if section.one("memory") and section.one("list-file"):
             what = "the memory keeps the list too; memory or list-file is allowed, not both"
-            faults.append(Fault(file, section.at("list-file"), what))
+            faults.append(Diagnostic(file, section.at("list-file"), what))
     for section in (*of("gateway"), *of("collector")):
         if "/" in section.name:
             faults.append(
-                Fault(file, section.place, "a '/' in a name; the runtime socket parts names with it")
+                Diagnostic(file, section.place, "a '/' in a name; the runtime socket parts names with it")
             )
     _once_only(found, file, faults)
     _dns(of, file, faults)
@@ -362,19 +366,19 @@
     return _built(of)
 
 
-def _dns(of: Callable[[str], list[_Found]], file: str, faults: list[Fault]) -> None:
+def _dns(of: Callable[[str], list[_Found]], file: str, faults: list[Diagnostic]) -> None:
     """Products and regions stand as labels in the zone: each must be one, and none may mean two things."""
     for section in of("dns"):
         try:
             domain(section.name)
-        except Unreadable as trouble:
-            faults.append(Fault(file, section.place, str(trouble)))
+        except InvalidValue as trouble:
+            faults.append(Diagnostic(file, section.place, str(trouble)))
     seen = {"servers": 0, "_tcp": 0} if of("dns") else {}
     for section in (*of("product"), *of("region")) if of("dns") else ():
         low = section.name.lower()
         if not re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", low):
             faults.append(
-                Fault(
+                Diagnostic(
                     file,
                     section.place,
                     f"'{section.name}' is no DNS label; letters, digits and - are allowed",
@@ -383,12 +387,14 @@
         if low in seen:
             where = f"a name of line {seen[low]}" if seen[low] else "a name of the zone's own"
             faults.append(
-                Fault(file, section.place, f"'{section.name}' is {where} in the zone; another one is allowed")
+                Diagnostic(
+                    file, section.place, f"'{section.name}' is {where} in the zone; another one is allowed"
+                )
             )
         seen.setdefault(low, section.place)
 
 
-def _once_only(found: Sequence[_Found], file: str, faults: list[Fault]) -> None:
+def _once_only(found: Sequence[_Found], file: str, faults: list[Diagnostic]) -> None:
     """One address for one thing: two names for one collector would take twice its share."""
     seen = dict[tuple[str, str], int]()
     for section in found:
@@ -405,7 +411,7 @@
         key = (kind, str(where))
         if key in seen:
             faults.append(
-                Fault(
+                Diagnostic(
                     file,
                     section.at(place),
                     f"{where} is used on line {seen[key]} already; an address of its own is allowed",
@@ -414,7 +420,7 @@
         seen[key] = section.at(place)
 
 
-def _built(of: Callable[[str], list[_Found]]) -> Plan:
+def _built(of: Callable[[str], list[_Found]]) -> ManagerConfig:
     manager = of("manager")[0]
     globals_ = of("global")[0] if of("global") else _Found("global", "", 0)
     names = sorted([manager.name, *(peer.name for peer in of("peer"))])
@@ -425,8 +431,8 @@
     ]
     holding = Holding()
     regions = {s.name: tuple(s.values.get("clients", ())) for s in of("region")}
-    return Plan(
-        log=LogForm(globals_.one("log", "json"), globals_.option("log", "level", "info")),
+    return ManagerConfig(
+        log=LogSettings(globals_.one("log", "json"), globals_.option("log", "level", "info")),
         identity=Identity(
             manager.name, names.index(manager.name), manager.one("region"), globals_.one("seed", 0)
         ),
@@ -478,10 +484,11 @@
         blind=manager.one("reports-trust", False),
         guard=manager.one("guard", "on"),
         gateways=tuple(
-            GatewaySite(s.name, s.one("region"), s.one("socket"), s.one("usual", 10.0)) for s in of("gateway")
+            GatewayConfig(s.name, s.one("region"), s.one("socket"), s.one("usual", 10.0))
+            for s in of("gateway")
         ),
         collectors=tuple(
-            CollectorSite(
+            CollectorConfig(
                 s.name,
                 s.one("region"),
                 s.one("model", "any"),
@@ -496,7 +503,7 @@
             )
             for s in of("collector")
         ),
-        peers=tuple(PeerSite(s.name, names.index(s.name), s.one("address")) for s in of("peer")),
+        peers=tuple(PeerConfig(s.name, names.index(s.name), s.one("address")) for s in of("peer")),
         peer_listener=next((s.one("bind") for s in of("listen") if s.one("peers")), None),
         listeners=tuple(listeners),
         dns=next((_zone(section, regions) for section in of("dns")), None),
@@ -505,12 +512,12 @@
     )
 
 
-def _zone(section: _Found, regions: dict[str, tuple[str, ...]]) -> DnsSite:
+def _zone(section: _Found, regions: dict[str, tuple[str, ...]]) -> DnsConfig:
     hosts = dict[str, list[str]]()
     for title, where in section.values["ns"]:
         hosts.setdefault(title, []).append(where)
     apex = domain(section.name)
-    return DnsSite(
+    return DnsConfig(
         apex,
         section.one("bind"),
         hosts,
--- a/rushladder/dnsfront/front.py
+++ b/rushladder/dnsfront/front.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rushladder.conf.objects import DnsSite
+from rushladder.conf.objects import DnsConfig
 from rushladder.core.host import LEVELS_MAP, Core, Port
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.answers import Answers, Asked, Chosen, Regions, Target, label
@@ -108,7 +108,7 @@
 
     def __init__(
         self,
-        site: DnsSite,
+        site: DnsConfig,
         manager: str,
         region: str,
         regions: Sequence[str],
@@ -125,12 +125,17 @@
         self.lifetimes, self.limits = Lifetimes(grace, way, now, draw), Limiter()
         self.counts, self._serial, self._begun = dict.fromkeys(Fate, 0), int(wall()), now
         self.seats = [
-            Seat(Gateway(f"dns.{manager}.{name}", name, site.usual / len(regions)), core, clock, self._replan)
+            Seat(
+                Gateway(f"dns.{manager}.{name}", name, site.usual_rate / len(regions)),
+                core,
+                clock,
+                self._replan,
+            )
             for name in regions
         ]
         self.pools = {
             (product.name, seat.gateway.zone): Pool(
-                product, site.by_load, seat.gateway.usual_rate / len(core.products)
+                product, site.split_by_load, seat.gateway.usual_rate / len(core.products)
             )
             for seat in self.seats
             for product in core.products
@@ -317,7 +322,7 @@
         if pool.product.repeat is Repeat.ONCE_ONLY:
             return 1
         part = volume / pool.askers.demand if pool.askers.demand else 0.0
-        return max(1, min(MOST_NAMED, max(self.site.named, round(part * len(pool.targets)))))
+        return max(1, min(MOST_NAMED, max(self.site.min_servers, round(part * len(pool.targets)))))
 
     def _tells(self, product: str, region: str) -> list[str]:
         pool = self.pools[product, region]
--- a/rushladder/dnsfront/ports.py
+++ b/rushladder/dnsfront/ports.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from rushladder.dnsfront.front import Front
-from rushladder.runtime.endpoint import DONE
+from rushladder.runtime.endpoint import CONNECTION_DONE
 from rushladder.timing import Clock
 
 QUIET = 10.0  # s without a question after which a connection is closed: RFC 7766 wants a few
@@ -55,7 +55,7 @@
             self._quiet.cancel()
         self._quiet = self._clock.callLater(QUIET, self._wire().loseConnection)
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         if self._quiet is not None and self._quiet.active():
             self._quiet.cancel()
 
@@ -74,7 +74,7 @@
         stream = Stream(self._front, self._clock)
         lost = stream.connectionLost
 
-        def gone(reason: Failure = DONE) -> None:
+        def gone(reason: Failure = CONNECTION_DONE) -> None:
             self._open[host] -= 1
             if not self._open[host]:
                 del self._open[host]
--- a/rushladder/gateways/difference.py
+++ b/rushladder/gateways/difference.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rushladder.runtime.grammar import Command, table
+from rushladder.runtime.grammar import Command, parse_table
 
 Key = tuple[str, str]  # backend, server
 
@@ -50,7 +50,7 @@
 def read_lines(answer: str) -> dict[Key, Line]:
     """The lines of `show servers state`. Rows that lack a column are passed over."""
     found = dict[Key, Line]()
-    for row in table(answer, None):
+    for row in parse_table(answer, None):
         try:
             bits = int(row["srv_admin_state"])
             admin = Admin.MAINT if bits & MAINT_BITS else Admin.DRAIN if bits & DRAIN_BITS else Admin.READY
--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -23,8 +23,8 @@
 from rushladder.gateways.meter import Birth, Met, Meter
 from rushladder.interface import Event, Joined, Left, Product
 from rushladder.records import Gateway, Server
-from rushladder.runtime.endpoint import RuntimeClient, Silent
-from rushladder.runtime.grammar import Command, fields
+from rushladder.runtime.endpoint import RuntimeClient, NoAnswer
+from rushladder.runtime.grammar import Command, parse_fields
 from rushladder.timing import TENTHS, Call, Clock, tenths
 
 HOLDER, WROTE = "proc.rushladder_holder", "proc.rushladder_wrote"
@@ -143,7 +143,7 @@
     async def _greet(self, client: RuntimeClient) -> None:
         assert client.greeting is not None
         await client.greeting
-        await client.ask(words("experimental-mode on"))
+        await client.send(words("experimental-mode on"))
         self._wait = FIRST_WAIT
         await self._read(client)
 
@@ -168,7 +168,7 @@
         Deferred.fromCoroutine(work).addErrback(self._failed)  # type: ignore[arg-type]
 
     def _failed(self, failure: Failure) -> None:
-        if failure.check(Silent):
+        if failure.check(NoAnswer):
             return  # the connection's end tells it
         self._fault(f"gateway {self.gateway.name}: {failure.value}")
         if failure.check(Unexpected) is None:
@@ -192,7 +192,7 @@
         questions = [words(f"get var {HOLDER}"), words(f"get var {WROTE}")]
         if self.holding.stand is Stand.HOLDING:
             questions += [words("show info"), words("show stat -1 6 -1")]
-        answers = await client.ask(*questions)
+        answers = await client.send(*questions)
         now = tenths(self._clock)
         effect = self.holding.read(read_word(read_var(answers[0])), asked, now)
         await self._carry_out(client, effect)
@@ -216,7 +216,7 @@
         self._swept = self._clock.seconds()
         commands = self._core.sweep(port)[:A_LINE]
         if commands and self.holding.may_send(tenths(self._clock)):
-            answers = await client.ask(*commands)
+            answers = await client.send(*commands)
             done = [
                 command for command, answer in zip(commands, answers, strict=True) if answer in GOOD_ANSWERS
             ]
@@ -228,7 +228,7 @@
             if self.holding.stand is Stand.REPLACED:
                 return self._give_way()
         if effect in (Effect.CLAIM, Effect.END_CLAIM, Effect.BEGIN, Effect.BEAT, Effect.REPAIR):
-            await client.ask(set_var(HOLDER, str(self.holding.word())))
+            await client.send(set_var(HOLDER, str(self.holding.word())))
         if effect is Effect.BEGIN:
             held = await self._held(client)
             if self.holding.stand is Stand.HOLDING:
@@ -238,7 +238,7 @@
             await self._read_back(client)
 
     async def _held(self, client: RuntimeClient) -> Held:
-        answers = await client.ask(
+        answers = await client.send(
             words("show servers state"), words(f"show map {LEVELS_MAP}"), words(f"show map {RETRIES_MAP}")
         )
         if "# " not in answers[0]:
@@ -253,11 +253,11 @@
             self._core.read_back(self.port, held)
             self._numbers += 1
             self.last_wrote = str(self._stamp())
-            await client.ask(set_var(WROTE, self.last_wrote))
+            await client.send(set_var(WROTE, self.last_wrote))
             self.kick()
 
     def _met_since(self, info: str, stat: str, asked: int) -> None:
-        facts = fields(info)
+        facts = parse_fields(info)
         up = facts.get("Uptime_sec", "")
         if not up.isdigit():
             raise Unexpected(f"no uptime in: {info[:80]!r}")
@@ -356,7 +356,7 @@
         commands = list(message.commands)
         versions = dict[str, str]()
         for name in message.maps:
-            answer = (await client.ask(words(f"prepare map {name}")))[0]
+            answer = (await client.send(words(f"prepare map {name}")))[0]
             match = re.search(r"New version created: (\d+)", answer)
             if match is None:
                 return [answer or f"prepare map {name}: no version"]
@@ -368,6 +368,6 @@
         commands.append(set_var(WROTE, self.last_wrote))
         refused = list[str]()
         for start in range(0, len(commands), A_LINE):
-            answers = await client.ask(*commands[start : start + A_LINE])
+            answers = await client.send(*commands[start : start + A_LINE])
             refused += [answer for answer in answers if answer not in GOOD_ANSWERS]
         return refused
--- a/rushladder/intake/lane.py
+++ b/rushladder/intake/lane.py
@@ -23,7 +23,7 @@
 from rushladder.intake.desk import LONGEST, Desk, Fate
 from rushladder.intake.gather import KEPT, Gathering
 from rushladder.intake.lane_pb2 import Batch, Sender, Turn
-from rushladder.runtime.endpoint import DONE
+from rushladder.runtime.endpoint import CONNECTION_DONE
 from rushladder.timing import Call, Clock, tenths
 
 reactor: Any = _reactor
@@ -76,7 +76,7 @@
         )
         self.sendString(batch.SerializeToString())  # type: ignore[no-untyped-call]
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self._ended()
 
 
--- a/rushladder/intake/ports.py
+++ b/rushladder/intake/ports.py
@@ -13,7 +13,7 @@
 from rushladder.intake.agent import LONGEST as AGENT_LONGEST
 from rushladder.intake.agent import Agent, Unclear, read_agent
 from rushladder.intake.desk import LONGEST, Desk, Fate
-from rushladder.runtime.endpoint import DONE
+from rushladder.runtime.endpoint import CONNECTION_DONE
 from rushladder.timing import Clock, tenths
 
 PAUSE = 0.2  # s that a stream over its budget is not read: TCP then slows its sender down
@@ -60,7 +60,7 @@
         stream = Stream(self._desk, self._clock)
         lost = stream.connectionLost
 
-        def gone(reason: Failure = DONE) -> None:
+        def gone(reason: Failure = CONNECTION_DONE) -> None:
             self._open -= 1
             lost(reason)
 
@@ -82,7 +82,7 @@
             transport: Any = self.transport
             transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self._end()
 
     def _end(self) -> None:
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -8,7 +8,7 @@
 from google.protobuf.message import DecodeError
 from twisted.internet import protocol
 
-from rushladder.conf.objects import PeerSite
+from rushladder.conf.objects import PeerConfig
 from rushladder.peers.inbox import Inbox, Verdict
 from rushladder.peers.word_pb2 import Word
 from rushladder.timing import Clock, tenths
@@ -24,7 +24,7 @@
         self,
         manager: str,
         boot: int,
-        peers: Mapping[str, PeerSite],
+        peers: Mapping[str, PeerConfig],
         clock: Clock,
         heard: Callable[[int, bytes], None],
         fault: Callable[[str], None],
--- a/rushladder/runtime/endpoint.py
+++ b/rushladder/runtime/endpoint.py
@@ -13,7 +13,14 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from rushladder.runtime.grammar import AnswerParser, AnswerTooLong, Command, CommandParser, Overlong, write
+from rushladder.runtime.grammar import (
+    AnswerParser,
+    AnswerTooLong,
+    Command,
+    CommandParser,
+    Overlong,
+    encode_commands,
+)
 from rushladder.timing import Call, Clock
 
 IDLE_MOST = (
@@ -21,7 +28,7 @@
 )
 STUCK_MOST = 20.0  # s that a client may leave answers unread: longer than any scheduler or network pause seen
 WAITING_MOST = 10_000  # commands of one connection not yet begun: a fleet's list told at once, ten times
-DONE = Failure(protocol.connectionDone)
+CONNECTION_DONE = Failure(protocol.connectionDone)
 
 
 class Level(IntEnum):
@@ -32,7 +39,7 @@
     ADMIN = 2
 
 
-class Refused(Exception):
+class CommandRefused(Exception):
     """A command that can't be carried out; its text is the answer."""
 
 
@@ -40,7 +47,7 @@
 
 
 @attrs.frozen
-class Verb:
+class CommandSpec:
     """One command: the words it starts with, who may use it, a line of help, and what carries it out."""
 
     words: tuple[str, ...]
@@ -49,15 +56,15 @@
     run: Handler
 
 
-class Verbs:
+class CommandTable:
     """Finds a command by its leading words, in steps of one look-up a word."""
 
-    def __init__(self, verbs: Sequence[Verb]) -> None:
+    def __init__(self, verbs: Sequence[CommandSpec]) -> None:
         self.all = list(verbs)
-        self._tree: dict[tuple[str, ...], Verb] = {verb.words: verb for verb in verbs}
+        self._tree: dict[tuple[str, ...], CommandSpec] = {verb.words: verb for verb in verbs}
         self._longest = max((len(verb.words) for verb in verbs), default=0)
 
-    def find(self, words: tuple[str, ...]) -> Verb | None:
+    def find(self, words: tuple[str, ...]) -> CommandSpec | None:
         for many in range(min(self._longest, len(words)), 0, -1):
             if verb := self._tree.get(words[:many]):
                 return verb
@@ -75,7 +82,11 @@
     """
 
     def __init__(
-        self, verbs: Verbs, level: Level, clock: Clock, on_fault: Callable[[str], None] = lambda text: None
+        self,
+        verbs: CommandTable,
+        level: Level,
+        clock: Clock,
+        on_fault: Callable[[str], None] = lambda text: None,
     ) -> None:
         self._verbs, self._level, self._clock, self._on_fault = verbs, level, clock, on_fault
         self._parser, self._todo = CommandParser(), deque[Command | Overlong]()
@@ -86,7 +97,7 @@
         self._transport().registerProducer(self, True)
         self._wait(IDLE_MOST)
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self._todo.clear()
         self._closing = True
         self._wait(None)
@@ -182,12 +193,12 @@
             return defer.succeed("Permission denied\n")
         return defer.maybeDeferred(self._call, verb, command).addErrback(self._failed)
 
-    def _call(self, verb: Verb, command: Command) -> Any:
+    def _call(self, verb: CommandSpec, command: Command) -> Any:
         found = verb.run(command, self._level)
         return found if isinstance(found, str) else Deferred.fromCoroutine(found)  # type: ignore[arg-type]
 
     def _failed(self, failure: Failure) -> str:
-        if failure.check(Refused):
+        if failure.check(CommandRefused):
             return f"{failure.value}\n"
         self._on_fault(f"{failure.type.__name__ if failure.type else 'fault'}: {failure.value}")
         return "Internal error, see the log.\n"
@@ -198,30 +209,30 @@
 
     def __init__(
         self,
-        verbs: Verbs,
+        verbs: CommandTable,
         level: Level,
         clock: Clock,
-        most: int = 100,
+        max_connections: int = 100,
         on_fault: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self._verbs, self._level, self._clock, self._most, self._on_fault = (
+        self._verbs, self._level, self._clock, self._max_connections, self._on_fault = (
             verbs,
             level,
             clock,
-            most,
+            max_connections,
             on_fault,
         )
         self._open = 0
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> protocol.Protocol | None:
-        if self._open >= self._most:
+        if self._open >= self._max_connections:
             self._on_fault("too many connections to the runtime socket")
             return None
         self._open += 1
         server = RuntimeServer(self._verbs, self._level, self._clock, self._on_fault)
         lost = server.connectionLost
 
-        def gone(reason: Failure = DONE) -> None:
+        def gone(reason: Failure = CONNECTION_DONE) -> None:
             self._open -= 1
             lost(reason)
 
@@ -229,7 +240,7 @@
         return server
 
 
-class Silent(Exception):
+class NoAnswer(Exception):
     """The other side did not answer within its limit."""
 
 
@@ -252,14 +263,14 @@
 
     def connectionMade(self) -> None:
         self.open = True
-        self.greeting = self.ask(Command(("prompt",)))
+        self.greeting = self.send(Command(("prompt",)))
 
-    def ask(self, *commands: Command) -> Deferred[list[str]]:
+    def send(self, *commands: Command) -> Deferred[list[str]]:
         """The answers, one a command, in order. Fails with Silent once the connection is lost."""
         if not self.open:
-            return defer.fail(Silent(self._why))
+            return defer.fail(NoAnswer(self._why))
         try:
-            data = write(commands)
+            data = encode_commands(commands)
         except ValueError as fault:
             return defer.fail(fault)
         answers: Deferred[list[str]] = Deferred()
@@ -299,12 +310,12 @@
             self._why = why
             self._transport().abortConnection()
 
-    def connectionLost(self, reason: Failure = DONE) -> None:
+    def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self.open = False
         self._again()
         asked, self._asked = self._asked, deque()
         for _, _, answers in asked:
-            answers.errback(Silent(self._why))
+            answers.errback(NoAnswer(self._why))
         self._on_lost(self._why)
 
     def _again(self) -> None:
--- a/rushladder/runtime/grammar.py
+++ b/rushladder/runtime/grammar.py
@@ -59,7 +59,7 @@
     TOO_LONG = "more bytes than the bound"
 
 
-def split(text: str) -> tuple[tuple[str, ...], ...]:
+def split_commands(text: str) -> tuple[tuple[str, ...], ...]:
     """The commands of a line, each as its words. Empty commands are left out.
 
     >>> split(r"set var proc.a str(x\\ y);show info")
@@ -106,7 +106,7 @@
     return SPECIAL.sub(r"\\\g<0>", word) if SPECIAL.search(word) else word
 
 
-def write(commands: Iterable[Command]) -> bytes:
+def encode_commands(commands: Iterable[Command]) -> bytes:
     """One line that holds the commands; only the last may have a payload, as its lines follow.
 
     Raises ValueError if the line would be over its bound or a payload could not be told from its end.
@@ -169,11 +169,11 @@
         pass
 
     def _request(self, text: str) -> None:
-        self._found.append(Request(tuple(Command(words) for words in split(text))))
+        self._found.append(Request(tuple(Command(words) for words in split_commands(text))))
 
     def _begin(self, text: str) -> None:
         line, self._end = text.rsplit(" ", 1)[0], text.rsplit("<<", 1)[1]
-        self._open, self._rows, self._size = split(line), [], 0
+        self._open, self._rows, self._size = split_commands(line), [], 0
 
     def _add(self, text: str) -> None:
         self._size += len(text) + 1
@@ -269,7 +269,7 @@
         return raw
 
 
-def table(answer: str, separator: str | None = ",") -> list[dict[str, str]]:
+def parse_table(answer: str, separator: str | None = ",") -> list[dict[str, str]]:
     """The rows of `show stat` (separator `,`) or `show servers state` (None: blanks), by column name.
 
     The header is the first line that starts with `# `; rows shorter than it lack their last columns, as
@@ -283,13 +283,13 @@
     return []
 
 
-def csv(names: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+def format_csv(names: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
     """A table in the manner of `show stat`: `# ` and the names, a comma behind each value."""
     header = "# " + ",".join(names) + ",\n"
     return header + "".join(",".join(map(str, row)) + ",\n" for row in rows)
 
 
-def fields(answer: str) -> dict[str, str]:
+def parse_fields(answer: str) -> dict[str, str]:
     """The `Name: value` lines of `show info`."""
     pairs = (line.split(":", 1) for line in answer.splitlines() if ":" in line)
     return {name.strip(): value.strip() for name, value in pairs}
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -10,15 +10,15 @@
 from twisted.internet.defer import TimeoutError as Late
 
 from rushladder import __version__
-from rushladder.conf.grammar import Unreadable, duration, inet, name, number
+from rushladder.conf.grammar import InvalidValue, duration, inet, name, number
 from rushladder.core.host import LEVELS_MAP, RETRIES_MAP
 from rushladder.core.roster import NoSuch
 from rushladder.gateways.difference import Admin
 from rushladder.guard.history import Version
 from rushladder.guard.warden import Denied
 from rushladder.interface import Availability
-from rushladder.runtime.endpoint import Level, Refused, Verb, Verbs
-from rushladder.runtime.grammar import Command, csv
+from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.grammar import Command, format_csv
 from rushladder.service.manager import Manager
 from rushladder.store.commands import LONGEST, LONGEST_ID, SURE_MOST, Effect, repeatable
 from rushladder.store.memory import Kind
@@ -51,12 +51,12 @@
 )
 
 
-def verbs(manager: Manager) -> Verbs:
+def command_table(manager: Manager) -> CommandTable:
     """All commands, with who may use them."""
     api = Api(manager)
-    plain = Verbs(
+    plain = CommandTable(
         [
-            Verb(tuple(words.split()), level, usage, _refusing(run))
+            CommandSpec(tuple(words.split()), level, usage, _refusing(run))
             for words, level, usage, run in (
                 ("show info", Level.USER, "show info [json] : facts about this manager", api.info),
                 ("show version", Level.USER, "show version : its version", lambda words: f"{__version__}\n"),
@@ -164,13 +164,13 @@
             )
         ]
     )
-    once = Verb(
+    once = CommandSpec(
         ("once",),
         Level.OPERATOR,
         "once ID COMMAND... : carried out once, however often it is sent, over restarts too",
         Once(manager, plain).run,
     )
-    return Verbs([*plain.all, once])
+    return CommandTable([*plain.all, once])
 
 
 Run = Callable[[tuple[str, ...]], str]
@@ -191,10 +191,10 @@
     def call(command: Command, level: Level) -> str:
         try:
             return run(command.words)
-        except (NoSuch, Unreadable) as trouble:
-            raise Refused(f"{trouble}") from None
+        except (NoSuch, InvalidValue) as trouble:
+            raise CommandRefused(f"{trouble}") from None
         except IndexError:
-            raise Refused("An argument is missing, see 'help'.") from None
+            raise CommandRefused("An argument is missing, see 'help'.") from None
 
     return call
 
@@ -202,18 +202,20 @@
 class Once:
     """Carries out commands that bear an id; what to do with a repeat is decided in `store.commands`."""
 
-    def __init__(self, manager: Manager, verbs: Verbs) -> None:
+    def __init__(self, manager: Manager, verbs: CommandTable) -> None:
         self._manager, self._verbs, self._journal = manager, verbs, manager.journal
 
     async def run(self, command: Command, level: Level) -> str:
         words = command.words
         if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{LONGEST_ID}}}", words[1]):
-            raise Refused(f"once ID COMMAND...; an ID has 1 to {LONGEST_ID} letters, digits, and . : - _")
+            raise CommandRefused(
+                f"once ID COMMAND...; an ID has 1 to {LONGEST_ID} letters, digits, and . : - _"
+            )
         name, inner = words[1], Command(words[2:], command.payload)
         verb = self._verbs.find(inner.words)
         text = " ".join(inner.words)
         if verb is None or len(text) > LONGEST:
-            raise Refused(f"Unknown command, or over {LONGEST} characters; see 'help'.")
+            raise CommandRefused(f"Unknown command, or over {LONGEST} characters; see 'help'.")
         if verb.level > level:
             return "Permission denied\n"
         memory = self._manager.memory
@@ -222,18 +224,20 @@
         if effect is Effect.ANSWER:
             return self._journal[name].answer
         if effect is not Effect.RUN:
-            raise Refused(f"Not carried out: {effect.value}.")
+            raise CommandRefused(f"Not carried out: {effect.value}.")
         if memory is not None:
             try:
                 await self._sure(name)
             except Late:
                 self._journal.never_ran(name)
                 memory.writer.put(Kind.COMMAND, name, None)
-                raise Refused("Not carried out: it could not be noted, the disk fails or is slow.") from None
+                raise CommandRefused(
+                    "Not carried out: it could not be noted, the disk fails or is slow."
+                ) from None
         try:
             answer = verb.run(inner, level)
             answer = answer if isinstance(answer, str) else await answer
-        except Refused as refused:
+        except CommandRefused as refused:
             answer = f"{refused}\n"
         self._journal.answered(name, answer)
         if memory is not None:
@@ -241,7 +245,9 @@
             try:
                 await self._sure(name)
             except Late:
-                raise Refused(f"Carried out, but not noted, as the disk fails or is slow: {answer}") from None
+                raise CommandRefused(
+                    f"Carried out, but not noted, as the disk fails or is slow: {answer}"
+                ) from None
         return answer
 
     async def _sure(self, name: str) -> None:
@@ -341,11 +347,11 @@
                     "gateways": used.get(one.server.name, 0),
                 }
             )
-        return csv(COLUMNS, ([row.get(column, "") for column in COLUMNS] for row in rows))
+        return format_csv(COLUMNS, ([row.get(column, "") for column in COLUMNS] for row in rows))
 
     def servers(self, words: tuple[str, ...]) -> str:
         if len(words) > 3 and words[3] != FLEET:
-            raise Refused("Can't find backend.")
+            raise CommandRefused("Can't find backend.")
         now = tenths(self._manager.clock)
         text = (
             "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight "
@@ -368,7 +374,7 @@
         if len(words) < 3:
             return f"# id (file) description\n0 ({LEVELS_MAP}) let in\n1 ({RETRIES_MAP}) retry rule\n"
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
-            raise Refused("Unknown map identifier. Please use levels or retries.")
+            raise CommandRefused("Unknown map identifier. Please use levels or retries.")
         text, place = "", 0
         for port in self._core.ports.values():
             for key, value in self._core.maps(port)[words[2]].items():
@@ -396,7 +402,7 @@
     def table(self, words: tuple[str, ...]) -> str:
         port = next((port for port in self._core.ports.values() if port.gateway.name == words[2]), None)
         if port is None:
-            raise Refused("No such gateway held here.")
+            raise CommandRefused("No such gateway held here.")
         rows = list[list[object]]()
         for product in port.tables:
             for key, line in self._core.wanted(port, product).items():
@@ -410,7 +416,7 @@
                         held.admin.value if held else "",
                     ]
                 )
-        return csv(("pxname", "svname", "weight", "state", "held_weight", "held_state"), rows)
+        return format_csv(("pxname", "svname", "weight", "state", "held_weight", "held_state"), rows)
 
     def errors(self, words: tuple[str, ...]) -> str:
         now = self._manager.clock.seconds()
@@ -424,7 +430,7 @@
     def _factor(self, word: str, percent: str) -> tuple[tuple[str, str], float]:
         product, _, server = word.partition("/")
         if not server:
-            raise Refused("Require 'product/server'.")
+            raise CommandRefused("Require 'product/server'.")
         return (product, server), number(0, 10_000, "%")(percent) / 100
 
     def _propose(self, why: str, changes: list[tuple[tuple[str, str], float]]) -> str:
@@ -436,9 +442,9 @@
         try:
             version = change(tenths(self._manager.clock))
         except Denied as denied:
-            raise Refused(f"Refused: {denied}.") from None
+            raise CommandRefused(f"Refused: {denied}.") from None
         self._core.owe_all()
-        self._manager.give()
+        self._manager.handle_events()
         wave = warden.wave
         out = wave is not None and not wave.over and wave.number == version.number
         self._manager.told("table.accepted", version=version.number, why=version.why, wave=out)
@@ -457,13 +463,13 @@
     def _lines_of(self, word: str) -> list[tuple[tuple[str, str], float]]:
         version = word.removeprefix("@")
         if not version.isdigit() or int(version) not in self._prepared:
-            raise Refused("Unknown version of the table.")
+            raise CommandRefused("Unknown version of the table.")
         return self._prepared[int(version)]
 
     def add_line(self, words: tuple[str, ...]) -> str:
         lines = self._lines_of(words[2])
         if len(lines) >= LINES_MOST:
-            raise Refused(f"The version is full; {LINES_MOST} lines are allowed.")
+            raise CommandRefused(f"The version is full; {LINES_MOST} lines are allowed.")
         lines.append(self._factor(words[3], words[4]))
         return ""
 
@@ -474,7 +480,7 @@
 
     def rollback(self, words: tuple[str, ...]) -> str:
         if not words[2].isdigit():
-            raise Refused("Require a version's number.")
+            raise CommandRefused("Require a version's number.")
         warden = self._core.warden
         keys = {key for one in warden.history.all() for key in one.factors}
         gateways = self._core.using(keys)
@@ -496,7 +502,7 @@
         try:
             rows = self._core.warden.history.diff(int(words[3]), int(words[4]))
         except (KeyError, ValueError):
-            raise Refused("No such version.") from None
+            raise CommandRefused("No such version.") from None
         return "# pxname svname before after\n" + "".join(
             f"{key[0]} {key[1]} {100 * before:g}% {100 * after:g}%\n" for key, before, after in rows
         )
@@ -522,7 +528,7 @@
     def load(self, words: tuple[str, ...]) -> str:
         desk, now = self._manager.desk, tenths(self._manager.clock)
         if len(words) > 2 and words[2] not in desk.senders:
-            raise Refused("No such server that reports.")
+            raise CommandRefused("No such server that reports.")
         rows = [
             [
                 name,
@@ -538,7 +544,7 @@
             for name, one in desk.senders.items()
             if one.reading.boot >= 0 and words[2:3] in ((), (name,))
         ]
-        return csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
+        return format_csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
         desk, now = self._manager.desk, tenths(self._manager.clock)
@@ -557,7 +563,7 @@
     def store(self, words: tuple[str, ...]) -> str:
         memory = self._manager.memory
         if memory is None:
-            raise Refused("Nothing is remembered: no memory is configured, or it could not be opened.")
+            raise CommandRefused("Nothing is remembered: no memory is configured, or it could not be opened.")
         opened, writer = memory.opened, memory.writer
         facts: dict[str, object] = {
             "Records": len(memory.log.state),
@@ -586,7 +592,7 @@
     def dns(self, words: tuple[str, ...]) -> str:
         front = self._manager.dns
         if front is None:
-            raise Refused("No zone is configured.")
+            raise CommandRefused("No zone is configured.")
         text = "".join(f"{fate.name}: {many}\n" for fate, many in front.counts.items())
         text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
         rows = list[list[object]]()
@@ -603,12 +609,14 @@
                         f"{pool.split.standing.get(server, 0.0):.2f}",
                     ]
                 )
-        return text + csv(("pxname", "region", "svname", "weight", "cold", "allowed_s", "standing_s"), rows)
+        return text + format_csv(
+            ("pxname", "region", "svname", "weight", "cold", "allowed_s", "standing_s"), rows
+        )
 
     def resolvers(self, words: tuple[str, ...]) -> str:
         front, now = self._manager.dns, tenths(self._manager.clock)
         if front is None:
-            raise Refused("No zone is configured.")
+            raise CommandRefused("No zone is configured.")
         rows = [
             [
                 product,
@@ -624,7 +632,7 @@
             for (product, region), pool in front.pools.items()
             for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[:SHOWN]
         ]
-        return csv(
+        return format_csv(
             ("pxname", "region", "resolver", "asked", "txns_s", "by_waits", "known", "age_s", "servers"), rows
         )
 
@@ -633,26 +641,26 @@
     def _name(self, word: str) -> str:
         backend, _, server = word.partition("/")
         if not server:
-            raise Refused("Require 'backend/server'.")
+            raise CommandRefused("Require 'backend/server'.")
         if backend != FLEET:
-            raise Refused(f"No such backend. Servers are listed in '{FLEET}'.")
+            raise CommandRefused(f"No such backend. Servers are listed in '{FLEET}'.")
         return name(server)
 
     def set_server(self, words: tuple[str, ...]) -> str:
         server, now = self._name(words[2]), tenths(self._manager.clock)
         if words[3] == "state":
             if words[4] not in STATES:
-                raise Refused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
-            self._manager.listing(self._roster.change(server, now, availability=STATES[words[4]]))
+                raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
+            self._manager.apply_list_change(self._roster.change(server, now, availability=STATES[words[4]]))
         elif words[3] == "weight":
             size = number(0.001, 1000)(words[4])
             try:
                 self._core.warden.resize("operator", server, size / self._roster[server].size, now)
             except Denied as denied:
-                raise Refused(f"Refused: {denied}.") from None
-            self._manager.listing(self._roster.change(server, now, size=size))
+                raise CommandRefused(f"Refused: {denied}.") from None
+            self._manager.apply_list_change(self._roster.change(server, now, size=size))
         else:
-            raise Refused("usage: set server fleet/NAME state | weight")
+            raise CommandRefused("usage: set server fleet/NAME state | weight")
         return ""
 
     def enable(self, words: tuple[str, ...]) -> str:
@@ -669,12 +677,12 @@
             or set(options) - {"region", "model", "weight", "started"}
             or "region" not in options
         ):
-            raise Refused(
+            raise CommandRefused(
                 "usage: add server fleet/NAME ADDRESS:PORT region REGION [model MODEL] [weight SIZE] "
                 "[started TIME]"
             )
         if options["region"] not in self._manager.plan.regions:
-            raise Refused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
+            raise CommandRefused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
         age = options.get("started")
         now = tenths(self._manager.clock)
         known = self._roster.version
@@ -688,9 +696,9 @@
         )
         if self._roster.version == known:
             return "Already listed.\n"
-        self._manager.listing(self._roster.told(server))
+        self._manager.apply_list_change(self._roster.told(server))
         return "New server registered.\n"
 
     def del_server(self, words: tuple[str, ...]) -> str:
-        self._manager.listing(self._roster.remove(self._name(words[2])))
+        self._manager.apply_list_change(self._roster.remove(self._name(words[2])))
         return "Server deleted.\n"
--- a/rushladder/service/logs.py
+++ b/rushladder/service/logs.py
@@ -8,13 +8,13 @@
 
 import structlog
 
-from rushladder.conf.objects import LogForm
+from rushladder.conf.objects import LogSettings
 
 
-def make_log(form: LogForm, **bound: Any) -> Any:
+def make_log(form: LogSettings, **bound: Any) -> Any:
     render = (
         structlog.processors.JSONRenderer()
-        if form.form == "json"
+        if form.format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -13,7 +13,7 @@
 import attrs
 from twisted.internet.defer import Deferred
 
-from rushladder.conf.objects import GatewaySite, Plan
+from rushladder.conf.objects import GatewayConfig, ManagerConfig
 from rushladder.core.host import Core
 from rushladder.core.reports import Reports
 from rushladder.core.roster import Roster
@@ -25,7 +25,7 @@
 from rushladder.interface import Event, Listing, PeerWord, Probed, ProbeResult
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient
-from rushladder.service.remembering import Remembering
+from rushladder.service.persistence import Persistence
 from rushladder.store.commands import Journal
 from rushladder.timing import TENTHS, Call, Clock, tenths
 
@@ -78,15 +78,15 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: ManagerConfig,
         clock: Clock,
-        connect: Callable[[GatewaySite, RuntimeClient], Deferred[Any]],
+        connect: Callable[[GatewayConfig, RuntimeClient], Deferred[Any]],
         prober: Prober | None,
         log: Log,
         restored: str = "",
         away: float = 0.0,
         wall: Callable[[], float] = time.time,
-        memory: Remembering | None = None,
+        memory: Persistence | None = None,
     ) -> None:
         self.plan, self.clock, self._log, self._prober = plan, clock, log, prober
         self._random = Random(plan.identity.seed * 1000 + plan.identity.number)
@@ -155,7 +155,7 @@
                 Times(hold.poll / TENTHS, hold.patience / TENTHS),
                 self._random.random,
                 log,
-                self.give,
+                self.handle_events,
                 self.fault,
                 self.give_way,
             )
@@ -180,7 +180,7 @@
         if self.dns is not None:
             self.dns.start()
         self._period()
-        self.give()
+        self.handle_events()
 
     def stop(self) -> None:
         """Gateways go on with the tables that they hold."""
@@ -195,7 +195,7 @@
 
     # Events in, orders out.
 
-    def give(self, *events: Event) -> None:
+    def handle_events(self, *events: Event) -> None:
         """One batch for the module, and what it ordered."""
         if self._stopped:
             return
@@ -218,7 +218,7 @@
             if self._wake is not None and self._wake.active():
                 self._wake.cancel()
             self._wake = self.clock.callLater(
-                max(0.0, wake / TENTHS - self.clock.seconds()) + 1e-4, self.give
+                max(0.0, wake / TENTHS - self.clock.seconds()) + 1e-4, self.handle_events
             )
 
     def _period(self) -> None:
@@ -237,7 +237,7 @@
                     gateways=len(wave.changed),
                     sure=round(wave.watch.sureness(), 4),
                 )
-            self.give(*self.reports.close(self._hints()), *self._came_by_name())
+            self.handle_events(*self.reports.close(self._hints()), *self._came_by_name())
             self._remember()
             faults, self.core.warden.faults = self.core.warden.faults, []
             for what in faults:
@@ -283,7 +283,7 @@
             self.clock,
             wall,
             self._random.random,
-            self.give,
+            self.handle_events,
             plan.guarantee.drain_grace,
             plan.channel.longest_way,
         )
@@ -331,14 +331,14 @@
         def done(result: Any) -> None:
             self._probing.pop(server, None)
             found = result if isinstance(result, ProbeResult) else ProbeResult.ERROR
-            self.give(Probed(server, found, tenths(self.clock) - asked))
+            self.handle_events(Probed(server, found, tenths(self.clock) - asked))
 
         self._prober.probe(listed.address).addBoth(done)
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.give(PeerWord(peer, data))
+        self.handle_events(PeerWord(peer, data))
 
-    def listing(self, event: Listing[Server] | None) -> None:
+    def apply_list_change(self, event: Listing[Server] | None) -> None:
         """A change of the list that the runtime API made."""
         if event is not None:
             self._log.info(
@@ -349,7 +349,7 @@
             self._reporters()
             if self.dns is not None:
                 self.dns.listing()
-            self.give(event)
+            self.handle_events(event)
             if self.memory is not None:
                 self.memory.listing(self.roster, tenths(self.clock))
 
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -27,7 +27,7 @@
 from rushladder.catalog.reader import Catalog, Faulty
 from rushladder.catalog.watch import Watch
 from rushladder.conf.birth import Unfit, birth
-from rushladder.conf.objects import LogForm
+from rushladder.conf.objects import LogSettings
 from rushladder.core.workers import Workers
 from rushladder.interface import Event, PeerWord, Probed, ProbeResult
 from rushladder.peers.bare import BareLink, Place
@@ -434,7 +434,7 @@
 def main() -> int:
     """Serves until SIGTERM. Leaves with 2 and one line if the configuration is faulty."""
     signals = Signals()
-    log = make_log(LogForm("json", "info"))
+    log = make_log(LogSettings("json", "info"))
     try:
         site = read_site(os.environ)
     except Wrong as trouble:
--- a/rushladder/service/remembering.py
+++ b/rushladder/service/persistence.py
@@ -46,7 +46,7 @@
 DEMAND_EVERY = 5  # periods between two records of demand: it is worth half after ten minutes
 
 
-class Remembering:
+class Persistence:
     """One manager's memory. wall: seconds; the clock is the manager's own."""
 
     def __init__(self, log: Log, writer: Writer, clock: Clock, wall: Callable[[], float]) -> None:
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -12,7 +12,7 @@
 
 from rushladder.catalog.client import CONNECT_MOST
 from rushladder.conf.grammar import Address
-from rushladder.conf.objects import GatewaySite, Plan
+from rushladder.conf.objects import GatewayConfig, ManagerConfig
 from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
 from rushladder.dnsfront.ports import Streams as DnsStreams
 from rushladder.intake.agent import Agent
@@ -21,11 +21,11 @@
 from rushladder.interface import Availability
 from rushladder.peers.link import PeerLink
 from rushladder.runtime.endpoint import RuntimeClient, RuntimeFactory
-from rushladder.service.api import verbs
+from rushladder.service.api import command_table
 from rushladder.service.exchange import HealthProber
 from rushladder.service.logs import make_log
 from rushladder.service.manager import Manager
-from rushladder.service.remembering import Remembering
+from rushladder.service.persistence import Persistence
 from rushladder.store.files import Disk, Locked
 from rushladder.store.log import Log, Refused
 from rushladder.store.memory import MINORS, fleet_of
@@ -36,7 +36,7 @@
 SAVE_EVERY = 0.2  # s between two looks at whether the list has changed: many changes become one write
 AGENT_EVERY = 2.0  # s between two agent checks of a server: its answer counts as fresh for five
 AGENT_STATES = {"ready": Availability.READY, "drain": Availability.DRAINING, "maint": Availability.GONE}
-AT_ONCE = 16 * 1024  # bytes of datagrams read before others have their turn: 1 to 2 ms of questions
+UDP_READ_BUDGET = 16 * 1024  # bytes of datagrams read before others have their turn: 1 to 2 ms of questions
 DNS_MOST = 4096  # bytes of a question: eight times what one with every option takes
 HEALTH_PATH = "/health"  # of a collector
 DIAL_MOST = 1.0  # s for a connection to a gateway's socket
@@ -62,7 +62,7 @@
         Path(address.path).unlink()
 
 
-def dial(site: GatewaySite, client: RuntimeClient) -> Deferred[Any]:
+def dial(site: GatewayConfig, client: RuntimeClient) -> Deferred[Any]:
     dialled: Deferred[Any] = endpoints.connectProtocol(client_endpoint(site.address), client)
     return dialled
 
@@ -90,7 +90,7 @@
         os.replace(other, self._path)
 
 
-def remember(plan: Plan) -> tuple[Remembering | None, str]:
+def remember(plan: ManagerConfig) -> tuple[Persistence | None, str]:
     """The memory that a plan names, opened; without one, why. A manager steers without it too."""
     if not plan.memory:
         return None, ""
@@ -102,13 +102,13 @@
     except (OSError, Locked, Refused) as trouble:
         return None, str(trouble)
     writer = Writer(log, reactor, threads.deferToThread, lambda why: None)
-    return Remembering(log, writer, reactor, time.time), ""
+    return Persistence(log, writer, reactor, time.time), ""
 
 
 class Service:
     """A manager and its sockets."""
 
-    def __init__(self, plan: Plan, log: Any) -> None:
+    def __init__(self, plan: ManagerConfig, log: Any) -> None:
         self._plan, self._log = plan, log
         self._file = ListFile(plan.list_file) if plan.list_file else None
         restored, away = self._file.read() if self._file else ("", 0.0)
@@ -134,7 +134,7 @@
     async def start(self) -> None:
         """Binds every socket, then starts. Raises OSError or Twisted's CannotListenError if one can't be
         bound."""
-        table = verbs(self.manager)
+        table = command_table(self.manager)
         for listener in self._plan.listeners:
             clear_path(listener.address)
             factory = RuntimeFactory(table, listener.level, reactor, on_fault=self.manager.fault)
@@ -155,7 +155,7 @@
             port = reactor.listenUDP(
                 where.port, DnsDatagrams(front), interface=where.host, maxPacketSize=DNS_MOST
             )
-            port.maxThroughput = AT_ONCE
+            port.maxThroughput = UDP_READ_BUDGET
             await server_endpoint(where).listen(DnsStreams(front, reactor))
         for kind, where in self._plan.report_listeners:
             if kind == "udp":
@@ -190,7 +190,9 @@
             self.manager.desk.asked(name, answer, tenths(reactor))
             state = AGENT_STATES.get(answer.admin or "")
             if state is not None and name in self.manager.roster.listed:
-                self.manager.listing(self.manager.roster.change(name, tenths(reactor), availability=state))
+                self.manager.apply_list_change(
+                    self.manager.roster.change(name, tenths(reactor), availability=state)
+                )
 
         def unsaid(failure: Any) -> None:
             self.manager.fault(f"agent check of {name}: {failure.value}")
@@ -220,7 +222,7 @@
         reactor.callLater(SAVE_EVERY, self._save)
 
 
-def run(plan: Plan) -> int:
+def run(plan: ManagerConfig) -> int:
     """Runs a manager until it is told to stop; 0, or 1 if a socket can't be bound."""
     log, failed = make_log(plan.log, manager=plan.identity.name), list[str]()
 
--- a/rushladder/standins/collector.py
+++ b/rushladder/standins/collector.py
@@ -18,7 +18,7 @@
 from twisted.web import resource, server
 
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
-from rushladder.runtime.endpoint import Level, Refused, Verb, Verbs
+from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
 from rushladder.standins.record import Record
 
@@ -221,22 +221,22 @@
         self._next()
 
 
-def verbs(collectors: dict[str, Collector]) -> Verbs:
+def verbs(collectors: dict[str, Collector]) -> CommandTable:
     """How a trial brings troubles about."""
 
     def find(words: tuple[str, ...]) -> Collector:
         if len(words) < 2 or words[1] not in collectors:
-            raise Refused("No such collector.")
+            raise CommandRefused("No such collector.")
         return collectors[words[1]]
 
-    def verb(word: str, run: Callable[[Collector, str], None]) -> Verb:
+    def verb(word: str, run: Callable[[Collector, str], None]) -> CommandSpec:
         def call(command: Command, level: Level) -> str:
             run(find(command.words), (*command.words, "", "")[2])
             return ""
 
-        return Verb((word,), Level.ADMIN, word, call)
+        return CommandSpec((word,), Level.ADMIN, word, call)
 
-    return Verbs(
+    return CommandTable(
         [
             verb("crash", lambda one, _: one.crash("crash")),
             verb("start", lambda one, _: one.start(warm=False)),
--- a/rushladder/standins/front.py
+++ b/rushladder/standins/front.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web import client, resource, server
 
-from rushladder.runtime.endpoint import Level, RuntimeFactory, Verb, Verbs
+from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
 from rushladder.standins.gateway import GatewayState, Line
 from rushladder.standins.record import Record
@@ -179,10 +179,10 @@
     reactor.listenUNIX(
         control,
         RuntimeFactory(
-            Verbs(
+            CommandTable(
                 [
-                    Verb(("streams",), Level.ADMIN, "streams break|close|open [PATH...]", streams),
-                    Verb(("unreachable",), Level.ADMIN, "unreachable [ADDRESS...]", unreachable),
+                    CommandSpec(("streams",), Level.ADMIN, "streams break|close|open [PATH...]", streams),
+                    CommandSpec(("unreachable",), Level.ADMIN, "unreachable [ADDRESS...]", unreachable),
                 ]
             ),
             Level.ADMIN,
--- a/rushladder/standins/gateway.py
+++ b/rushladder/standins/gateway.py
@@ -12,8 +12,8 @@
 
 import attrs
 
-from rushladder.runtime.endpoint import Level, Refused, Verb, Verbs
-from rushladder.runtime.grammar import Command, csv
+from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.grammar import Command, format_csv
 
 SAMPLES = 1024  # of the sliding mean, as the guide says
 COLUMNS = """
@@ -74,7 +74,7 @@
         self.variables = dict[str, str]()
         self.heard: Callable[[tuple[str, ...], str], None] = lambda words, answer: None
         operator, admin = Level.OPERATOR, Level.ADMIN
-        self.verbs = Verbs(
+        self.verbs = CommandTable(
             [
                 self._verb(*row)
                 for row in (
@@ -96,19 +96,19 @@
             ]
         )
 
-    def _verb(self, words: str, level: Level, run: Callable[[tuple[str, ...]], str]) -> Verb:
+    def _verb(self, words: str, level: Level, run: Callable[[tuple[str, ...]], str]) -> CommandSpec:
         def noted(command: Command, _: Level) -> str:
             answer = ""
             try:
                 answer = run(command.words)
-            except Refused as refused:
+            except CommandRefused as refused:
                 answer = f"{refused}\n"
             except IndexError:
                 answer = f"'{words}' lacks an argument.\n"
             self.heard(command.words, answer)
             return answer
 
-        return Verb(tuple(words.split()), level, words, noted)
+        return CommandSpec(tuple(words.split()), level, words, noted)
 
     # Its work.
 
@@ -143,11 +143,11 @@
     def _line(self, name: str) -> Line:
         backend, _, server = name.partition("/")
         if not server:
-            raise Refused("Require 'backend/server'.")
+            raise CommandRefused("Require 'backend/server'.")
         if backend not in self.backends:
-            raise Refused("No such backend.")
+            raise CommandRefused("No such backend.")
         if server not in self.backends[backend]:
-            raise Refused("No such server.")
+            raise CommandRefused("No such server.")
         return self.backends[backend][server]
 
     def _info(self, words: tuple[str, ...]) -> str:
@@ -190,7 +190,7 @@
                     "eresp": self.failed[product],
                 }
             )
-        return csv(COLUMNS, ([row.get(name, "") for name in COLUMNS] for row in rows))
+        return format_csv(COLUMNS, ([row.get(name, "") for name in COLUMNS] for row in rows))
 
     def _servers(self, words: tuple[str, ...]) -> str:
         text = "1\n# " + " ".join(STATE_COLUMNS) + "\n"
@@ -207,24 +207,26 @@
         line, what = self._line(words[2]), words[3]
         if what == "weight":
             if not re.fullmatch(r"\d{1,3}", words[4]) or int(words[4]) > 256:
-                raise Refused("Absolute weight can only be between 0 and 256 inclusive.")
+                raise CommandRefused("Absolute weight can only be between 0 and 256 inclusive.")
             line.weight = int(words[4])
         elif what == "state":
             if words[4] not in ("ready", "drain", "maint"):
-                raise Refused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
+                raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
             line.admin = words[4]
         elif what == "addr":
             line.address = f"{words[4]}:{words[6]}"
         else:
-            raise Refused("usage: set server <backend>/<server> addr | agent | health | state | weight")
+            raise CommandRefused(
+                "usage: set server <backend>/<server> addr | agent | health | state | weight"
+            )
         return ""
 
     def _add_server(self, words: tuple[str, ...]) -> str:
         backend, _, server = words[2].partition("/")
         if backend not in self.backends:
-            raise Refused("No such backend.")
+            raise CommandRefused("No such backend.")
         if server in self.backends[backend]:
-            raise Refused("Already exists a server with the same name in backend.")
+            raise CommandRefused("Already exists a server with the same name in backend.")
         weight = int(words[words.index("weight") + 1]) if "weight" in words else 1
         self.backends[backend][server] = Line(backend, server, words[3], weight, "maint")
         return "New server registered.\n"
@@ -232,7 +234,7 @@
     def _del_server(self, words: tuple[str, ...]) -> str:
         line = self._line(words[2])
         if line.admin != "maint" or line.held:
-            raise Refused(
+            raise CommandRefused(
                 "Only servers in maintenance mode can be deleted."
                 if line.admin != "maint"
                 else "Server still has connections attached to it, cannot remove it."
@@ -242,7 +244,7 @@
 
     def _map(self, words: tuple[str, ...], place: int) -> dict[str, str]:
         if words[place] not in self.maps:
-            raise Refused("Unknown map identifier. Please use #<id> or <file>.")
+            raise CommandRefused("Unknown map identifier. Please use #<id> or <file>.")
         return self.maps[words[place]]
 
     def _show_map(self, words: tuple[str, ...]) -> str:
@@ -264,7 +266,7 @@
     def _prepared(self, words: tuple[str, ...]) -> dict[str, str]:
         found = self._versions.get((words[3], words[2].removeprefix("@")))
         if found is None:
-            raise Refused("Unknown version of this map.")
+            raise CommandRefused("Unknown version of this map.")
         return found
 
     def _add_map(self, words: tuple[str, ...]) -> str:
@@ -284,7 +286,7 @@
     def _set_var(self, words: tuple[str, ...]) -> str:
         match = re.fullmatch(r"str\((.*)\)", words[3])
         if not match:
-            raise Refused("Parsing of the expression failed.")
+            raise CommandRefused("Parsing of the expression failed.")
         self.variables[words[2]] = match[1]
         return ""
 
--- a/rushladder/standins/load.py
+++ b/rushladder/standins/load.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web import client
 
-from rushladder.runtime.endpoint import Level, RuntimeFactory, Verb, Verbs
+from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
 from rushladder.standins.record import Record
 
@@ -114,7 +114,7 @@
             return 599
 
 
-def verbs(load: Load) -> Verbs:
+def verbs(load: Load) -> CommandTable:
     def factor(command: Command, level: Level) -> str:
         for name in load.factor if command.words[1] == "all" else (command.words[1],):
             load.factor[name] = float(command.words[2])
@@ -136,13 +136,13 @@
         load.stopped = True
         return ""
 
-    return Verbs(
+    return CommandTable(
         [
-            Verb(("factor",), Level.ADMIN, "factor PRODUCT|all X", factor),
-            Verb(("heavy",), Level.ADMIN, "heavy PART TIMES", heavy),
-            Verb(("patience",), Level.ADMIN, "patience PART", patience),
-            Verb(("hot",), Level.ADMIN, "hot GATEWAY PART", hot),
-            Verb(("stop",), Level.ADMIN, "stop", stop),
+            CommandSpec(("factor",), Level.ADMIN, "factor PRODUCT|all X", factor),
+            CommandSpec(("heavy",), Level.ADMIN, "heavy PART TIMES", heavy),
+            CommandSpec(("patience",), Level.ADMIN, "patience PART", patience),
+            CommandSpec(("hot",), Level.ADMIN, "hot GATEWAY PART", hot),
+            CommandSpec(("stop",), Level.ADMIN, "stop", stop),
         ]
     )
 
--- a/rushladder/standins/resolvers.py
+++ b/rushladder/standins/resolvers.py
@@ -16,7 +16,7 @@
 from twisted.names import dns
 from twisted.web import client
 
-from rushladder.runtime.endpoint import Level, RuntimeFactory, Verb, Verbs
+from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
 from rushladder.standins.load import Ask
 from rushladder.standins.record import Record
@@ -217,6 +217,6 @@
         population.stopped = True
         return ""
 
-    verbs = Verbs([Verb(("stop",), Level.ADMIN, "stop", stop)])
+    verbs = CommandTable([CommandSpec(("stop",), Level.ADMIN, "stop", stop)])
     reactor.listenUNIX(what["control"], RuntimeFactory(verbs, Level.ADMIN, reactor))
     population.start()
--- a/rushladder/trials/day.py
+++ b/rushladder/trials/day.py
@@ -19,17 +19,17 @@
 
 from rushladder.conf.grammar import (
     PER_MS,
-    Fault,
-    Faulty,
+    Diagnostic,
+    InvalidConfig,
     Line,
-    Unreadable,
+    InvalidValue,
     duration,
     name,
     number,
     one_of,
-    part,
+    percentage,
     read_lines,
-    whole,
+    integer,
 )
 
 PER_S = 1000 * PER_MS
@@ -165,29 +165,31 @@
 
 def read_day(text: str, file: str) -> Day:
     """Raises Faulty with every fault as file:line."""
-    faults, sections = list[Fault](), list[tuple[Line, list[Line]]]()
+    faults, sections = list[Diagnostic](), list[tuple[Line, list[Line]]]()
     raw = text.splitlines()
     for line in read_lines(text, file, faults):
-        if line.words[0] in SECTIONS and not raw[line.place - 1][:1].isspace():
+        if line.words[0] in SECTIONS and not raw[line.number - 1][:1].isspace():
             sections.append((line, []))
         elif sections:
             sections[-1][1].append(line)
         else:
             faults.append(
-                Fault(file, line.place, f"stands outside of a section; {', '.join(SECTIONS)} are allowed")
+                Diagnostic(
+                    file, line.number, f"stands outside of a section; {', '.join(SECTIONS)} are allowed"
+                )
             )
     made = _Made(file, faults)
     for head, lines in sections:
         made.section(head, lines)
     if "length" not in made.facts and not faults:
-        faults.append(Fault(file, 1, "no day section with a length; one is needed"))
+        faults.append(Diagnostic(file, 1, "no day section with a length; one is needed"))
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfig(faults)
     return made.day()
 
 
 class _Made:
-    def __init__(self, file: str, faults: list[Fault]) -> None:
+    def __init__(self, file: str, faults: list[Diagnostic]) -> None:
         self._file, self._faults = file, faults
         self.facts: dict[str, str] = {}
         self.plan, self.dns = list[tuple[str, ...]](), list[tuple[str, ...]]()
@@ -196,7 +198,7 @@
         self.products, self.happenings = list[Asked](), list[Happening]()
 
     def fault(self, line: Line, what: str) -> None:
-        self._faults.append(Fault(self._file, line.place, what))
+        self._faults.append(Diagnostic(self._file, line.number, what))
 
     def section(self, head: Line, lines: Sequence[Line]) -> None:
         kind = head.words[0]
@@ -216,8 +218,10 @@
                 self._product(head.words[1], lines)
             else:
                 self._site(kind, head.words[1], lines)
-        except (Unreadable, IndexError, KeyError) as trouble:
-            self.fault(head, f"{kind}: {trouble if isinstance(trouble, Unreadable) else f'lacks {trouble}'}")
+        except (InvalidValue, IndexError, KeyError) as trouble:
+            self.fault(
+                head, f"{kind}: {trouble if isinstance(trouble, InvalidValue) else f'lacks {trouble}'}"
+            )
 
     def _day(self, line: Line) -> None:
         if line.words[0] == "plan":
@@ -241,12 +245,12 @@
             Asked(
                 name(title),
                 own,
-                part(said["share"][0]),
+                percentage(said["share"][0]),
                 duration(said["work"][0]) / PER_S,
                 duration(said["sla"][0]) / PER_S,
                 duration(said["expiry"][0]) / PER_S,
                 float(said["revenue"][0]),
-                part(said.get("late", ("0%",))[0]),
+                percentage(said.get("late", ("0%",))[0]),
                 said["repeat"][0],
             )
         )
@@ -263,10 +267,10 @@
             Resolvers(
                 name(title),
                 name(said["region"][0]),
-                whole(1, 500)(said["many"][0]),
+                integer(1, 500)(said["many"][0]),
                 number(0, 5)(said.get("zipf", ("1",))[0]),
                 number(0.1, 1e5, "/s")(said["load"][0]),
-                whole(0, 500)(said.get("ignore", ("0",))[0]),
+                integer(0, 500)(said.get("ignore", ("0",))[0]),
             )
         )
 
@@ -283,7 +287,7 @@
             Site(
                 name(title),
                 name(said["region"][0]),
-                whole(1, 1000)(said.get("cores", ("4",))[0]),
+                integer(1, 1000)(said.get("cores", ("4",))[0]),
                 number(0.01, 100)(said.get("speed", ("1",))[0]),
                 number(0.01, 100)(said.get("size", ("1",))[0]),
                 name(said.get("model", ("any",))[0]),
@@ -296,30 +300,30 @@
         words = list(line.words)
         try:
             if words[0] != "at":
-                raise Unreadable(f"'{words[0]}' opens no event; 'at TIME WHO NAMES WHAT' is allowed")
+                raise InvalidValue(f"'{words[0]}' opens no event; 'at TIME WHO NAMES WHAT' is allowed")
             at, who = duration(words[1]) / PER_S, words[2]
             if who not in HAPPENINGS:
-                raise Unreadable(f"'{who}' is unknown; {', '.join(HAPPENINGS)} are allowed")
+                raise InvalidValue(f"'{who}' is unknown; {', '.join(HAPPENINGS)} are allowed")
             names = tuple(words[3].split(",")) if who != "load" else ()
             rest = words[3:] if who == "load" else words[4:]
             if not rest or rest[0] not in HAPPENINGS[who]:
-                raise Unreadable(
+                raise InvalidValue(
                     f"what happens is unknown; {', '.join(HAPPENINGS[who])} can happen to a {who}"
                 )
             many, ends = HAPPENINGS[who][rest[0]]
             arguments, tail = tuple(rest[1 : 1 + many]), rest[1 + many :]
             if len(arguments) < many or (tail and (not ends or tail[0] != "for" or len(tail) != 2)):
-                raise Unreadable(
+                raise InvalidValue(
                     f"'{rest[0]}' takes {many} argument(s){' and may end: for TIME' if ends else ''}"
                 )
             lasts = duration(tail[1]) / PER_S if tail else 0.0
-        except Unreadable as trouble:
+        except InvalidValue as trouble:
             return self.fault(line, str(trouble))
         except IndexError:
             return self.fault(
                 line, "the event is cut off; 'at TIME WHO NAMES WHAT ... [for TIME]' is allowed"
             )
-        self.happenings.append(Happening(at, who, names, rest[0], arguments, lasts, line.place))
+        self.happenings.append(Happening(at, who, names, rest[0], arguments, lasts, line.number))
 
     def day(self) -> Day:
         return Day(
--- a/rushladder/trials/play.py
+++ b/rushladder/trials/play.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 
 from rushladder.conf.grammar import Address
-from rushladder.runtime.client import ask
-from rushladder.runtime.grammar import Command, fields, split
+from rushladder.runtime.client import send_commands
+from rushladder.runtime.grammar import Command, parse_fields, split_commands
 from rushladder.standins.record import Record
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
@@ -290,7 +290,7 @@
         for manager in self.day.managers if self._steered else ():
             if manager.name not in self._still:
                 answers = self._tell(manager.name + ".sock", "show info", 0.3)
-                facts = fields(answers[0]) if answers else {}
+                facts = parse_fields(answers[0]) if answers else {}
                 if "LinesOwed" in facts:
                     waits = int(facts["LinesOwed"]) + int(facts["LinesSent"])
                     self._record.note("waits", manager=manager.name, lines=waits)
@@ -298,9 +298,9 @@
                     self._split(manager.name)
 
     def _tell(self, control: str, text: str, patience: float = 3.0) -> list[str]:
-        commands = [Command(words) for words in split(text)]
+        commands = [Command(words) for words in split_commands(text)]
         try:
-            return ask(Address(path=self._path(control)), commands, patience)
+            return send_commands(Address(path=self._path(control)), commands, patience)
         except OSError as trouble:
             self._record.note("untold", control=control, text=text, why=str(trouble))
             return []
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushladder.conf.grammar import Faulty, Unreadable, duration, words
-from rushladder.conf.reader import read
+from rushladder.conf.grammar import InvalidConfig, InvalidValue, duration, tokenize
+from rushladder.conf.reader import parse_config
 from rushladder.interface import Repeat
 
 GOOD = """
@@ -44,12 +44,12 @@
 
 class ConfStories(unittest.TestCase):
     def faults(self, text: str) -> list[str]:
-        with self.assertRaises(Faulty) as caught:
-            read(text, "f")
-        return [str(fault) for fault in caught.exception.faults]
+        with self.assertRaises(InvalidConfig) as caught:
+            parse_config(text, "f")
+        return [str(fault) for fault in caught.exception.errors]
 
     def test_a_whole_file_becomes_objects(self) -> None:
-        plan = read(GOOD, "f")
+        plan = parse_config(GOOD, "f")
         self.assertEqual((plan.identity.name, plan.identity.number, plan.peers[0].number), ("m1", 1, 0))
         self.assertEqual((plan.guarantee.drain_grace, plan.channel.message_cap), (42_000, 12))
         self.assertIs(plan.products[0].repeat, Repeat.ONCE_ONLY)
@@ -84,21 +84,21 @@
     def test_a_memory_and_a_list_file_are_one_too_many(self) -> None:
         text = GOOD.replace("manager m1\n", "manager m1\n    memory /m\n    list-file /l\n")
         self.assertIn(":6: the memory keeps the list too", self.faults(text)[0])
-        self.assertEqual(read(text.replace("    list-file /l\n", ""), "f").memory, "/m")
+        self.assertEqual(parse_config(text.replace("    list-file /l\n", ""), "f").memory, "/m")
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(st.integers(0, len(GOOD)), st.text(max_size=6))
     def test_whatever_is_typed_in_gives_a_plan_or_faults(self, place: int, typed: str) -> None:
         try:
-            read(GOOD[:place] + typed + GOOD[place:], "f")
-        except Faulty as told:
-            self.assertTrue(told.faults)
+            parse_config(GOOD[:place] + typed + GOOD[place:], "f")
+        except InvalidConfig as told:
+            self.assertTrue(told.errors)
 
     def test_words_times_and_quotes(self) -> None:
-        self.assertEqual(words(r'a "b # c" d\ e # f'), ("a", "b # c", "d e"))
+        self.assertEqual(tokenize(r'a "b # c" d\ e # f'), ("a", "b # c", "d e"))
         self.assertEqual([duration(word) for word in ("1.2s", "40ms", "300us")], [12_000, 400, 3])
         for bad in ("5", "-1s", "1e3s", "99h", ""):
-            self.assertRaises(Unreadable, duration, bad)
+            self.assertRaises(InvalidValue, duration, bad)
 
 
 if __name__ == "__main__":
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -17,8 +17,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushladder.conf.grammar import Faulty
-from rushladder.conf.reader import read
+from rushladder.conf.grammar import InvalidConfig
+from rushladder.conf.reader import parse_config
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.askers import Askers
 from rushladder.dnsfront.front import Front
@@ -628,8 +628,8 @@
             ("ns ns1.svc.example=127.0.0.1", "ns ns1", "NAME=ADDRESS"),
             ("clients 10.2.0.0/16", "clients 10.2.0.1/16", "no network"),
         ):
-            with self.assertRaises(Faulty) as raised:
-                read(text.replace(old, new), "f")
+            with self.assertRaises(InvalidConfig) as raised:
+                parse_config(text.replace(old, new), "f")
             self.assertIn(what, str(raised.exception))
 
 
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -10,7 +10,7 @@
 from rushladder.gateways.holding import Effect, Holding, Stand, Word, read_word
 from rushladder.gateways.meter import Birth, Meter, Sums, mean_of_new
 from rushladder.gateways.rounding import FULL, round_pool
-from rushladder.runtime.grammar import Command, csv
+from rushladder.runtime.grammar import Command, format_csv
 
 SECOND = 10_000
 pools = st.dictionaries(st.integers(0, 30), st.floats(1e-3, 1e4), min_size=1, max_size=20)
@@ -168,7 +168,7 @@
 
 
 def row(settled: int, mean: int, voided: int = 0) -> str:
-    return csv(
+    return format_csv(
         ("pxname", "svname", "stot", "eresp", "hrsp_2xx", "ttime", "later"),
         [("p", "s", settled, voided, settled, mean, "x")],
     )
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -3,14 +3,14 @@
 import unittest
 from functools import cache
 
-from rushladder.runtime.endpoint import Level, Refused
-from rushladder.runtime.grammar import Command, fields, table
-from rushladder.service.api import verbs
+from rushladder.runtime.endpoint import Level, CommandRefused
+from rushladder.runtime.grammar import Command, parse_fields, parse_table
+from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
 from tests.world import Wire, World
 
 
-commands = cache(verbs)  # one table of commands a manager, as its listeners share it
+commands = cache(command_table)  # one table of commands a manager, as its listeners share it
 
 
 def ctl(manager: Manager, text: str) -> str:
@@ -19,7 +19,7 @@
     assert verb is not None, text
     try:
         answer = verb.run(command, Level.ADMIN)
-    except Refused as refused:
+    except CommandRefused as refused:
         return f"refused: {refused}"
     assert isinstance(answer, str)
     return answer
@@ -123,7 +123,7 @@
             ctl(world.managers["m0"], "set server fleet/s1 state drain")
             ctl(world.managers["m0"], "add server fleet/s8 127.0.0.1:7008 region a started 1m")
             world.run(9, rate=20)
-            rows = table(ctl(world.managers["m0"], "show table g0"))
+            rows = parse_table(ctl(world.managers["m0"], "show table g0"))
             self.assertTrue(rows)
             for row in rows:
                 line = world.gateways["g0"].backends[row["pxname"]].get(row["svname"])
@@ -397,7 +397,7 @@
         manager, before = world.managers["m0"], world.usable("g0", "pay")
         number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.ports)
         manager.core.weigh(number, next(iter(table_.lines)), float("inf"))
-        manager.give()
+        manager.handle_events()
         world.run(1.5, rate=20)
         self.assertIn("own order for table", ctl(manager, "show errors"))
         self.assertEqual(set(world.usable("g0", "pay")), set(before))
@@ -424,14 +424,14 @@
         world = World()
         world.run(8, rate=20)
         manager = world.managers["m0"]
-        facts = fields(ctl(manager, "show info"))
+        facts = parse_fields(ctl(manager, "show info"))
         self.assertEqual(
             (facts["GatewaysHeld"], facts["Servers"], facts["CommandsUnanswered"]), ("2", "4", "0")
         )
-        rows = {(row["pxname"], row["svname"]): row for row in table(ctl(manager, "show stat"))}
+        rows = {(row["pxname"], row["svname"]): row for row in parse_table(ctl(manager, "show stat"))}
         self.assertEqual(rows["fleet", "s0"]["status"], "UP")
         self.assertAlmostEqual(float(rows["pay", "BACKEND"]["req_rate"]), 40, delta=8)
-        self.assertEqual(len(table(ctl(manager, "show servers state"), None)), 4)
+        self.assertEqual(len(parse_table(ctl(manager, "show servers state"), None)), 4)
         self.assertIn("g0/ask 1000", ctl(manager, "show map levels"))
         self.assertIn("g1: region=b stand=holding", ctl(manager, "show sess"))
         self.assertEqual(ctl(manager, "show backend").split()[2:], ["fleet", "ask", "pay"])
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 
 from rushladder.conf.grammar import Address
-from rushladder.conf.objects import PeerSite
+from rushladder.conf.objects import PeerConfig
 from rushladder.peers.inbox import AGAIN, Inbox, Verdict
 from rushladder.peers.link import MARK, PeerLink
 from rushladder.peers.word_pb2 import Word
@@ -31,7 +31,7 @@
         self.a.transport = self.net  # type: ignore[assignment]
 
     def link(self, name: str, other: str) -> PeerLink:
-        site = PeerSite(other, int(other[1]), Address(host="127.0.0.1", port=1))
+        site = PeerConfig(other, int(other[1]), Address(host="127.0.0.1", port=1))
         return PeerLink(
             name,
             5,
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import Deferred, fail, succeed
 
-from rushladder.conf.reader import read as read_plan
+from rushladder.conf.reader import parse_config as read_plan
 from rushladder.runtime.endpoint import Level
 from rushladder.runtime.grammar import Command
-from rushladder.service.api import verbs
+from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
-from rushladder.service.remembering import Remembering
+from rushladder.service.persistence import Persistence
 from rushladder.standins.folder import Entries, Folder, Tail
 from rushladder.store.commands import Effect, Journal
 from rushladder.store.log import Log
@@ -162,7 +162,7 @@
         log = Log(folder, self.fleet, name, MINORS, wall=lambda: int(1000 * self.wall()))
         log.open()
         writer = Writer(log, self.clock, at_once, lambda why: None)
-        remembering = Remembering(log, writer, self.clock, self.wall)
+        remembering = Persistence(log, writer, self.clock, self.wall)
         manager = Manager(
             read_plan(self.plan(name), "plan"),
             self.clock,
@@ -185,7 +185,7 @@
         return self.start_manager(name)
 
     def say(self, name: str, text: str) -> str:
-        table, got = verbs(self.managers[name]), list[str]()
+        table, got = command_table(self.managers[name]), list[str]()
         verb = table.find(tuple(text.split()))
         assert verb is not None
         answer = verb.run(Command(tuple(text.split())), Level.ADMIN)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -11,13 +11,13 @@
 
 from rushladder.runtime.endpoint import (
     Level,
-    Refused,
+    CommandRefused,
     RuntimeClient,
     RuntimeFactory,
     RuntimeServer,
-    Silent,
-    Verb,
-    Verbs,
+    NoAnswer,
+    CommandSpec,
+    CommandTable,
 )
 from rushladder.runtime.grammar import (
     AnswerParser,
@@ -26,11 +26,11 @@
     CommandParser,
     Overlong,
     Request,
-    csv,
-    fields,
-    split,
-    table,
-    write,
+    format_csv,
+    parse_fields,
+    split_commands,
+    parse_table,
+    encode_commands,
 )
 
 words = st.text(st.characters(codec="utf-8", exclude_characters="\r\n"), min_size=1, max_size=12)
@@ -56,7 +56,7 @@
             return
         if has:
             commands = [*commands[:-1], Command(commands[-1].words, payload)]
-        data = write(commands)
+        data = encode_commands(commands)
         parser, found = CommandParser(), list[Request | Overlong]()
         for part in cut(data, places):
             found += parser.feed(part)
@@ -85,7 +85,7 @@
         self.assertEqual(found, [Overlong("payload", 20), Request((Command(("show", "info")),))])
 
     def test_escapes_and_joined_commands(self) -> None:
-        self.assertEqual(split(r"a b\ c;;d\;e ; f\\"), (("a", "b c"), ("d;e",), ("f\\",)))
+        self.assertEqual(split_commands(r"a b\ c;;d\;e ; f\\"), (("a", "b c"), ("d;e",), ("f\\",)))
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -109,11 +109,13 @@
                 parser.feed(b"garbage")
 
     def test_tables_are_read_by_column_name(self) -> None:
-        text = csv(("pxname", "svname", "stot"), [("collect", "c1", 5)])
-        self.assertEqual(table(text), [{"pxname": "collect", "svname": "c1", "stot": "5"}])
-        self.assertEqual(table("1\n# be_name srv_name\nb s\n", None), [{"be_name": "b", "srv_name": "s"}])
-        self.assertEqual(table("nothing of a table"), [])
-        self.assertEqual(fields("Name: x\nUptime_sec: 4\n"), {"Name": "x", "Uptime_sec": "4"})
+        text = format_csv(("pxname", "svname", "stot"), [("collect", "c1", 5)])
+        self.assertEqual(parse_table(text), [{"pxname": "collect", "svname": "c1", "stot": "5"}])
+        self.assertEqual(
+            parse_table("1\n# be_name srv_name\nb s\n", None), [{"be_name": "b", "srv_name": "s"}]
+        )
+        self.assertEqual(parse_table("nothing of a table"), [])
+        self.assertEqual(parse_fields("Name: x\nUptime_sec: 4\n"), {"Name": "x", "Uptime_sec": "4"})
 
 
 class EndpointStories(unittest.TestCase):
@@ -124,13 +126,13 @@
             return await self.later
 
         def refuse(command: Command, level: Level) -> str:
-            raise Refused("No such server.")
+            raise CommandRefused("No such server.")
 
-        self.verbs = Verbs(
+        self.verbs = CommandTable(
             [
-                Verb(("show", "info"), Level.USER, "show info : facts", lambda c, v: "Name: x\n"),
-                Verb(("show", "slow"), Level.USER, "show slow : later", slow),
-                Verb(("set", "server"), Level.ADMIN, "set server B/S ...", refuse),
+                CommandSpec(("show", "info"), Level.USER, "show info : facts", lambda c, v: "Name: x\n"),
+                CommandSpec(("show", "slow"), Level.USER, "show slow : later", slow),
+                CommandSpec(("set", "server"), Level.ADMIN, "set server B/S ...", refuse),
             ]
         )
 
@@ -178,7 +180,7 @@
         self.assertTrue(wire.disconnected)
 
     def test_connections_over_the_bound_are_turned_away(self) -> None:
-        factory = RuntimeFactory(self.verbs, Level.USER, self.clock, most=1)
+        factory = RuntimeFactory(self.verbs, Level.USER, self.clock, max_connections=1)
         first = factory.buildProtocol(None)
         assert first is not None
         self.assertIsNone(factory.buildProtocol(None))
@@ -191,7 +193,7 @@
         client, wire = RuntimeClient(self.clock, 2.0), StringTransport()
         client.makeConnection(wire)  # type: ignore[no-untyped-call]
         got = list[list[str]]()
-        client.ask(Command(("show", "info")), Command(("set", "server", "x/y z"))).addCallback(got.append)
+        client.send(Command(("show", "info")), Command(("set", "server", "x/y z"))).addCallback(got.append)
         server.dataReceived(wire.value())
         client.dataReceived(out.value())
         self.assertEqual(got, [["Name: x\n", "No such server.\n"]])
@@ -201,13 +203,13 @@
         client, wire = RuntimeClient(self.clock, 2.0), StringTransport()
         client.makeConnection(wire)  # type: ignore[no-untyped-call]
         failed = list[Any]()
-        client.ask(Command(("show", "info"))).addErrback(lambda f: failed.append(f.type))
+        client.send(Command(("show", "info"))).addErrback(lambda f: failed.append(f.type))
         assert client.greeting is not None
         client.greeting.addErrback(lambda f: None)
         self.clock.advance(3)
         self.assertTrue(wire.disconnected)
         client.connectionLost()
-        self.assertEqual(failed, [Silent])
+        self.assertEqual(failed, [NoAnswer])
 
 
 if __name__ == "__main__":
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from rushladder.conf.grammar import Faulty
-from rushladder.conf.reader import read
+from rushladder.conf.grammar import InvalidConfig
+from rushladder.conf.reader import parse_config
 from rushladder.trials.day import Day, read_day
 from rushladder.trials.judge import judge, load
 
@@ -156,15 +156,15 @@
         text = (
             TEXT.replace("crash for 1s", "sing").replace("at 2s", "at 2").replace("share 100%", "share 100")
         )
-        with self.assertRaises(Faulty) as caught:
+        with self.assertRaises(InvalidConfig) as caught:
             read_day(text, "d")
-        self.assertEqual([fault.line for fault in caught.exception.faults], [8, 25])
+        self.assertEqual([fault.line for fault in caught.exception.errors], [8, 25])
 
     def test_all_shipped_days_and_examples_are_good(self) -> None:
         for file in sorted((ROOT / "trials").glob("*.day")):
             self.assertEqual(read_day(file.read_text(), str(file)).name, file.stem)
         for file in sorted((ROOT / "examples").glob("*.conf")):
-            plan = read(file.read_text(), str(file))
+            plan = parse_config(file.read_text(), str(file))
             self.assertTrue(plan.gateways or plan.dns)
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,10 +10,10 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from rushladder.conf.objects import GatewaySite
-from rushladder.conf.reader import read
+from rushladder.conf.objects import GatewayConfig
+from rushladder.conf.reader import parse_config
 from rushladder.interface import ProbeResult
-from rushladder.runtime.endpoint import DONE, Level, RuntimeClient, RuntimeFactory, RuntimeServer
+from rushladder.runtime.endpoint import CONNECTION_DONE, Level, RuntimeClient, RuntimeFactory, RuntimeServer
 from rushladder.service.manager import Manager
 from rushladder.standins.gateway import GatewayState
 
@@ -83,7 +83,7 @@
         for side in (self, self.other):
             if side is not None and side.open:
                 side.open = False
-                side.clock.callLater(0, side.protocol.connectionLost, DONE)
+                side.clock.callLater(0, side.protocol.connectionLost, CONNECTION_DONE)
 
 
 class Log:
@@ -147,7 +147,7 @@
     def start_manager(self, name: str, restored: str = "") -> Manager:
         self.logs[name] = Log()
         manager = Manager(
-            read(self.plan(name), "plan"),
+            parse_config(self.plan(name), "plan"),
             self.clock,
             lambda site, client: self.connect(name, site, client),
             self.prober,
@@ -168,7 +168,7 @@
             if owner == name and wire.open:
                 wire.abortConnection()
 
-    def connect(self, manager: str, site: GatewaySite, client: RuntimeClient) -> Deferred[Any]:
+    def connect(self, manager: str, site: GatewayConfig, client: RuntimeClient) -> Deferred[Any]:
         connected: Deferred[Any] = Deferred()
         if site.name in self.down:
             self.clock.callLater(self.delay, connected.errback, Failure(ConnectionError("refused")))
