--- a/rushladder/conf/__init__.py
+++ b/rushladder/conf/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: text in, checked objects out, every fault with its place."""
+"""The configuration of a manager: parses its file into objects and reports errors with their lines."""
--- a/rushladder/conf/objects.py
+++ b/rushladder/conf/objects.py
@@ -1,4 +1,4 @@
-"""What a configuration describes: one frozen object for each section, ids already turned into objects."""
+"""The parsed configuration: one frozen class for each kind of section, with references resolved."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class LogSettings:
-    """How the log is written: `json` or `console`, and the least level."""
+    """How the log is written: its format (`json` or `console`) and its lowest level."""
 
     format: str = "json"
     level: str = "info"
@@ -22,8 +22,7 @@
 
 @attrs.frozen
 class Identity:
-    """Who this manager is: its name, its number among all managers in the order of their names, its
-    region."""
+    """The manager itself. number: its index among all managers, sorted by name."""
 
     name: str
     number: int
@@ -33,7 +32,7 @@
 
 @attrs.frozen
 class GatewayConfig:
-    """Where a gateway's runtime socket is, and what usually comes to it (txns a second)."""
+    """A gateway: the address of its runtime socket, and the txns per second it usually receives."""
 
     name: str
     region: str
@@ -43,7 +42,7 @@
 
 @attrs.frozen
 class CollectorConfig:
-    """A collector as first listed. limit: txns a second from this manager's gateways; 0: none stated."""
+    """A collector as first listed. limit: txns per second from this manager's gateways; 0: not set."""
 
     name: str
     region: str
@@ -53,13 +52,15 @@
     cell: int = 0
     limit: float = 0.0
     connections: int = 0
-    reports_from: str = ""  # the address that its load reports come from
+    reports_from: str = ""  # the source address of its load reports
     token: bytes = b""
     agent: Address | None = None  # where it answers agent checks
 
 
 @attrs.frozen
 class PeerConfig:
+    """Another manager, and where its peer messages are received."""
+
     name: str
     number: int
     address: Address
@@ -67,9 +68,12 @@
 
 @attrs.frozen
 class DnsConfig:
-    """The zone that this manager answers for. hosts: name servers' names and addresses; named: servers of an
-    answer, at least; usual: txns a second of DNS clients; by_load: the split follows load, not answers;
-    clients: the prefixes of each region's clients."""
+    """The DNS zone that this manager serves.
+
+    hosts: names and addresses of its name servers; min_servers: servers in an answer, at least; usual_rate:
+    txns per second of DNS clients; split_by_load: the split follows load, not the number of answers; clients:
+    the network prefixes of each region's clients.
+    """
 
     apex: str
     address: Address
@@ -84,7 +88,7 @@
 
 @attrs.frozen
 class Listener:
-    """A socket of the manager's own: the runtime API at a level, or where peers' words arrive."""
+    """A socket on which the manager serves its runtime API, at a level."""
 
     name: str
     address: Address
@@ -92,11 +96,11 @@
 
 
 @attrs.frozen
-class Holding:
-    """The times of holding a gateway, in tenths of a millisecond.
+class HoldingTimes:
+    """Durations for holding a gateway, in tenths of a millisecond.
 
-    poll: between two readings of a gateway; takeover: silence of a holder after which another claims;
-    patience: for one answer of a gateway.
+    poll: between two reads of a gateway's state; takeover: how long a holder must be silent before another
+    manager claims the gateway; patience: the timeout of one answer of a gateway.
     """
 
     poll: int = POLL
@@ -106,7 +110,7 @@
 
 @attrs.frozen
 class ManagerConfig:
-    """A whole configuration."""
+    """The configuration of a manager."""
 
     log: LogSettings
     identity: Identity
@@ -116,15 +120,15 @@
     guarantee: Guarantee
     level_unit: LevelUnit
     may_probe: bool
-    holding: Holding
+    holding: HoldingTimes
     list_file: str
-    blind: bool  # load reports are taken at their word; for measuring
-    guard: str  # on, no-waves (admission only) or off; the last two are for measuring
+    trust_reports: bool  # load reports are trusted unconditionally; for measurements only
+    guard: str  # on, no-waves (admission only) or off; the last two are for measurements only
     gateways: tuple[GatewayConfig, ...]
     collectors: tuple[CollectorConfig, ...]
     peers: tuple[PeerConfig, ...]
     peer_listener: Address | None
     listeners: tuple[Listener, ...]
-    report_listeners: tuple[tuple[str, Address], ...] = ()  # `udp` or `tcp`, and where
+    report_listeners: tuple[tuple[str, Address], ...] = ()  # `udp` or `tcp`, and the address
     dns: DnsConfig | None = None
-    memory: str = ""  # the folder where what was learned is kept
+    memory: str = ""  # folder of the store with the learned state
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -1,9 +1,9 @@
-"""Reads a configuration: a table of sections and directives, one loop over the lines, all faults at once."""
+"""Parses a configuration file against the schema in `SECTIONS` and reports all its errors at once."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
 import re
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import attrs
@@ -34,7 +34,7 @@
     CollectorConfig,
     DnsConfig,
     GatewayConfig,
-    Holding,
+    HoldingTimes,
     Identity,
     Listener,
     LogSettings,
@@ -45,486 +45,506 @@
 from rushladder.runtime.endpoint import Level
 
 REPEATS = {kind.value: kind for kind in Repeat}
-UNITS = {"ratio": LevelUnit.RATIO, "rate": LevelUnit.RATE, "off": LevelUnit.IGNORED}
+LEVEL_UNITS = {"ratio": LevelUnit.RATIO, "rate": LevelUnit.RATE, "off": LevelUnit.IGNORED}
 LEVELS = {"user": Level.USER, "operator": Level.OPERATOR, "admin": Level.ADMIN}
-SWITCH = {"on": True, "off": False}
-GUARDS = ("on", "no-waves", "off")
-Reader = Callable[[str], Any]
+ON_OFF = {"on": True, "off": False}
+GUARD_MODES = ("on", "no-waves", "off")
+ValueParser = Callable[[str], Any]
 
 
 @attrs.frozen
-class Directive:
-    """The shape of a directive: its arguments in order; keywords with one argument each; whether it is
-    needed."""
-
-    arguments: tuple[Reader, ...] = ()
-    options: dict[str, Reader] = attrs.field(factory=dict)
-    needed: bool = False
-    many: bool = False  # the last argument may be given several times
+class DirectiveSchema:
+    """The syntax of a directive. options: keywords after the arguments, each with one argument of its own."""
+
+    arguments: tuple[ValueParser, ...] = ()
+    options: dict[str, ValueParser] = attrs.field(factory=dict)
+    required: bool = False
+    repeatable: bool = False  # its only argument may be given several times
     usage: str = ""
 
 
 @attrs.frozen
-class Section:
-    directives: dict[str, Directive]
+class SectionSchema:
+    """The syntax of a section. named: its keyword is followed by a name; once: a file holds one at most."""
+
+    directives: dict[str, DirectiveSchema]
     named: bool = True
     once: bool = False
 
 
-SECTIONS: dict[str, Section] = {
-    "global": Section(
+SECTIONS: dict[str, SectionSchema] = {
+    "global": SectionSchema(
         {
-            "log": Directive(
+            "log": DirectiveSchema(
                 (one_of({"json": "json", "console": "console"}),),
                 {"level": one_of({k: k for k in ("debug", "info", "warning", "error")})},
                 usage="log json|console [level L]",
             ),
-            "seed": Directive((integer(0, 2**31),), usage="seed NUMBER"),
+            "seed": DirectiveSchema((integer(0, 2**31),), usage="seed NUMBER"),
         },
         named=False,
         once=True,
     ),
-    "manager": Section(
+    "manager": SectionSchema(
         {
-            "region": Directive((name,), needed=True, usage="region NAME"),
-            "list-file": Directive((non_empty,), usage="list-file PATH"),
-            "memory": Directive((non_empty,), usage="memory DIRECTORY"),
-            "bare": Directive((duration,), usage="bare TIME"),
-            "grace": Directive((duration,), usage="grace TIME"),
-            "cold": Directive((duration,), {"from": percentage}, usage="cold TIME from PART"),
-            "fall": Directive((number(1, 100, "x"),), {"for": duration}, usage="fall MULTIPLEx for TIME"),
-            "channel-lines": Directive((number(1, 1e6, "/s"),), usage="channel-lines RATE/s"),
-            "channel-waiting": Directive((integer(10, 10_000_000),), usage="channel-waiting LINES"),
-            "channel-head": Directive((number(0, 100),), usage="channel-head LINES"),
-            "channel-way": Directive(
+            "region": DirectiveSchema((name,), required=True, usage="region NAME"),
+            "list-file": DirectiveSchema((non_empty,), usage="list-file PATH"),
+            "memory": DirectiveSchema((non_empty,), usage="memory DIRECTORY"),
+            "bare": DirectiveSchema((duration,), usage="bare TIME"),
+            "grace": DirectiveSchema((duration,), usage="grace TIME"),
+            "cold": DirectiveSchema((duration,), {"from": percentage}, usage="cold TIME from PART"),
+            "fall": DirectiveSchema(
+                (number(1, 100, "x"),), {"for": duration}, usage="fall MULTIPLEx for TIME"
+            ),
+            "channel-lines": DirectiveSchema((number(1, 1e6, "/s"),), usage="channel-lines RATE/s"),
+            "channel-waiting": DirectiveSchema((integer(10, 10_000_000),), usage="channel-waiting LINES"),
+            "channel-head": DirectiveSchema((number(0, 100),), usage="channel-head LINES"),
+            "channel-way": DirectiveSchema(
                 (duration,), {"longest": duration}, usage="channel-way TIME longest TIME"
             ),
-            "messages": Directive((integer(4, 100_000),), {"per": duration}, usage="messages COUNT per TIME"),
-            "levels": Directive((one_of(UNITS),), usage="levels ratio|rate|off"),
-            "probes": Directive((one_of(SWITCH),), usage="probes on|off"),
-            "reports-trust": Directive(
+            "messages": DirectiveSchema(
+                (integer(4, 100_000),), {"per": duration}, usage="messages COUNT per TIME"
+            ),
+            "levels": DirectiveSchema((one_of(LEVEL_UNITS),), usage="levels ratio|rate|off"),
+            "probes": DirectiveSchema((one_of(ON_OFF),), usage="probes on|off"),
+            "reports-trust": DirectiveSchema(
                 (one_of({"earned": False, "blind": True}),), usage="reports-trust earned|blind"
             ),
-            "guard": Directive((one_of({k: k for k in GUARDS}),), usage="guard on|no-waves|off"),
-            "poll": Directive((duration,), usage="poll TIME"),
-            "takeover": Directive((duration,), usage="takeover TIME"),
-            "patience": Directive((duration,), usage="patience TIME"),
+            "guard": DirectiveSchema((one_of({k: k for k in GUARD_MODES}),), usage="guard on|no-waves|off"),
+            "poll": DirectiveSchema((duration,), usage="poll TIME"),
+            "takeover": DirectiveSchema((duration,), usage="takeover TIME"),
+            "patience": DirectiveSchema((duration,), usage="patience TIME"),
         },
         once=True,
     ),
-    "region": Section({"clients": Directive((network,), many=True, usage="clients ADDRESS/LENGTH...")}),
-    "dns": Section(
+    "region": SectionSchema(
+        {"clients": DirectiveSchema((network,), repeatable=True, usage="clients ADDRESS/LENGTH...")}
+    ),
+    "dns": SectionSchema(
         {
-            "bind": Directive((inet,), needed=True, usage="bind ADDRESS:PORT"),
-            "ns": Directive((name_server,), many=True, needed=True, usage="ns NAME=ADDRESS..."),
-            "mailbox": Directive((domain,), usage="mailbox NAME"),
-            "named": Directive((integer(1, 8),), usage="named COUNT"),
-            "usual": Directive((number(0, 1e6, "/s"),), usage="usual RATE/s"),
-            "secret": Directive((token,), usage="secret HEX"),
-            "split": Directive((one_of({"load": True, "answers": False}),), usage="split load|answers"),
+            "bind": DirectiveSchema((inet,), required=True, usage="bind ADDRESS:PORT"),
+            "ns": DirectiveSchema((name_server,), repeatable=True, required=True, usage="ns NAME=ADDRESS..."),
+            "mailbox": DirectiveSchema((domain,), usage="mailbox NAME"),
+            "named": DirectiveSchema((integer(1, 8),), usage="named COUNT"),
+            "usual": DirectiveSchema((number(0, 1e6, "/s"),), usage="usual RATE/s"),
+            "secret": DirectiveSchema((token,), usage="secret HEX"),
+            "split": DirectiveSchema((one_of({"load": True, "answers": False}),), usage="split load|answers"),
         },
         once=True,
     ),
-    "product": Section(
+    "product": SectionSchema(
         {
-            "sla": Directive((duration,), needed=True, usage="sla TIME"),
-            "expiry": Directive((duration,), needed=True, usage="expiry TIME"),
-            "revenue": Directive((number(0, 1e6),), needed=True, usage="revenue NUMBER"),
-            "late": Directive((percentage,), usage="late PART"),
-            "repeat": Directive(
+            "sla": DirectiveSchema((duration,), required=True, usage="sla TIME"),
+            "expiry": DirectiveSchema((duration,), required=True, usage="expiry TIME"),
+            "revenue": DirectiveSchema((number(0, 1e6),), required=True, usage="revenue NUMBER"),
+            "late": DirectiveSchema((percentage,), usage="late PART"),
+            "repeat": DirectiveSchema(
                 (one_of(REPEATS),),
                 {"window": duration, "group": one_of({k: k for k in ("all", "zone", "cell")})},
-                needed=True,
+                required=True,
                 usage="repeat inquiry-like|referenced|once-only [window TIME] [group all|zone|cell]",
             ),
-            "writes": Directive(usage="writes"),
-            "home-only": Directive(usage="home-only"),
-            "models": Directive((name,), many=True, usage="models NAME..."),
-            "regions": Directive((name,), many=True, usage="regions NAME..."),
+            "writes": DirectiveSchema(usage="writes"),
+            "home-only": DirectiveSchema(usage="home-only"),
+            "models": DirectiveSchema((name,), repeatable=True, usage="models NAME..."),
+            "regions": DirectiveSchema((name,), repeatable=True, usage="regions NAME..."),
         }
     ),
-    "gateway": Section(
+    "gateway": SectionSchema(
         {
-            "region": Directive((name,), needed=True, usage="region NAME"),
-            "socket": Directive((address,), needed=True, usage="socket unix@PATH|ADDRESS:PORT"),
-            "usual": Directive((number(0, 1e6, "/s"),), usage="usual RATE/s"),
+            "region": DirectiveSchema((name,), required=True, usage="region NAME"),
+            "socket": DirectiveSchema((address,), required=True, usage="socket unix@PATH|ADDRESS:PORT"),
+            "usual": DirectiveSchema((number(0, 1e6, "/s"),), usage="usual RATE/s"),
         }
     ),
-    "collector": Section(
+    "collector": SectionSchema(
         {
-            "region": Directive((name,), needed=True, usage="region NAME"),
-            "address": Directive((inet,), needed=True, usage="address ADDRESS:PORT"),
-            "model": Directive((name,), usage="model NAME"),
-            "size": Directive((number(0.001, 1000),), usage="size NUMBER"),
-            "cell": Directive((integer(0, 65_535),), usage="cell NUMBER"),
-            "reports": Directive((host,), {"token": token}, usage="reports ADDRESS token HEX"),
-            "agent": Directive((inet,), usage="agent ADDRESS:PORT"),
-            "limit": Directive((number(0.1, 1e6, "/s"),), usage="limit RATE/s"),
-            "connections": Directive((integer(1, 10_000_000),), usage="connections COUNT"),
+            "region": DirectiveSchema((name,), required=True, usage="region NAME"),
+            "address": DirectiveSchema((inet,), required=True, usage="address ADDRESS:PORT"),
+            "model": DirectiveSchema((name,), usage="model NAME"),
+            "size": DirectiveSchema((number(0.001, 1000),), usage="size NUMBER"),
+            "cell": DirectiveSchema((integer(0, 65_535),), usage="cell NUMBER"),
+            "reports": DirectiveSchema((host,), {"token": token}, usage="reports ADDRESS token HEX"),
+            "agent": DirectiveSchema((inet,), usage="agent ADDRESS:PORT"),
+            "limit": DirectiveSchema((number(0.1, 1e6, "/s"),), usage="limit RATE/s"),
+            "connections": DirectiveSchema((integer(1, 10_000_000),), usage="connections COUNT"),
         }
     ),
-    "peer": Section({"address": Directive((inet,), needed=True, usage="address ADDRESS:PORT")}),
-    "listen": Section(
+    "peer": SectionSchema({"address": DirectiveSchema((inet,), required=True, usage="address ADDRESS:PORT")}),
+    "listen": SectionSchema(
         {
-            "bind": Directive(
+            "bind": DirectiveSchema(
                 (address,),
                 {"level": one_of(LEVELS)},
-                needed=True,
+                required=True,
                 usage="bind unix@PATH|ADDRESS:PORT [level user|operator|admin]",
             ),
-            "peers": Directive(usage="peers"),
-            "reports": Directive((one_of({"udp": "udp", "tcp": "tcp"}),), usage="reports udp|tcp"),
+            "peers": DirectiveSchema(usage="peers"),
+            "reports": DirectiveSchema((one_of({"udp": "udp", "tcp": "tcp"}),), usage="reports udp|tcp"),
         }
     ),
 }
 
 
-class _Found:
-    """One section as written: its place, its name, the values of its directives and their places."""
+class _ParsedSection:
+    """A section of a file: its line and name, and the values, options and lines of its directives."""
 
-    def __init__(self, kind: str, title: str, place: int) -> None:
-        self.kind, self.name, self.place = kind, title, place
+    def __init__(self, kind: str, name: str, line: int) -> None:
+        self.kind, self.name, self.line = kind, name, line
         self.values = dict[str, list[Any]]()
         self.options = dict[str, dict[str, Any]]()
-        self.places = dict[str, int]()
+        self.lines = dict[str, int]()
 
-    def one(self, directive: str, otherwise: Any = None) -> Any:
-        found = self.values.get(directive)
-        return found[0] if found else otherwise
+    def value(self, directive: str, default: Any = None) -> Any:
+        values = self.values.get(directive)
+        return values[0] if values else default
 
-    def option(self, directive: str, option: str, otherwise: Any = None) -> Any:
-        return self.options.get(directive, {}).get(option, otherwise)
+    def option(self, directive: str, option: str, default: Any = None) -> Any:
+        return self.options.get(directive, {}).get(option, default)
 
-    def at(self, directive: str) -> int:
-        return self.places.get(directive, self.place)
+    def line_of(self, directive: str) -> int:
+        return self.lines.get(directive, self.line)
 
 
-def parse_config(text_: str, file: str) -> ManagerConfig:
-    """The plan that a file's text describes. Raises Faulty with every fault found."""
-    faults = list[Diagnostic]()
-    found = _sections(text_, file, faults)
-    plan = _plan(found, file, faults)
-    if faults or plan is None:
-        raise InvalidConfig(faults)
-    return plan
+def parse_config(text: str, file: str) -> ManagerConfig:
+    """Parses a configuration. `file` names it in errors. Raises InvalidConfig with all errors found."""
+    errors = list[Diagnostic]()
+    sections = _parse_sections(text, file, errors)
+    config = _validate(sections, file, errors)
+    if errors or config is None:
+        raise InvalidConfig(errors)
+    return config
 
 
-def _sections(text_: str, file: str, faults: list[Diagnostic]) -> list[_Found]:
-    found, open_, seen = list[_Found](), None, dict[tuple[str, str], int]()
+def _parse_sections(text: str, file: str, errors: list[Diagnostic]) -> list[_ParsedSection]:
+    sections, current, seen = list[_ParsedSection](), None, dict[tuple[str, str], int]()
     skipping = False
-    for line in read_lines(text_, file, faults):
-        head = line.words[0]
-        # Within a gateway, say, `region` is a directive; a section's keyword stands at its line's start.
-        starts = head in SECTIONS and not text_.splitlines()[line.number - 1][:1].isspace()
-        if not starts:
-            if open_ is not None:
-                _directive(open_, line, file, faults)
+    for line in read_lines(text, file, errors):
+        keyword = line.words[0]
+        # Some words are both: `region` at the start of a line opens a section, indented it is a directive.
+        starts_section = keyword in SECTIONS and not text.splitlines()[line.number - 1][:1].isspace()
+        if not starts_section:
+            if current is not None:
+                _parse_directive(current, line, file, errors)
             elif not skipping:
-                faults.append(
+                errors.append(
                     Diagnostic(
                         file,
                         line.number,
-                        f"'{head}' stands outside of a section; "
+                        f"'{keyword}' is outside of a section; "
                         f"{', '.join(SECTIONS)} open one, at the start of a line",
                     )
                 )
             continue
-        kind = SECTIONS[head]
-        open_, skipping = None, True
-        if len(line.words) != 1 + kind.named:
-            faults.append(
-                Diagnostic(file, line.number, f"'{head}' takes {'one name' if kind.named else 'no name'}")
+        schema = SECTIONS[keyword]
+        current, skipping = None, True
+        if len(line.words) != 1 + schema.named:
+            errors.append(
+                Diagnostic(
+                    file, line.number, f"'{keyword}' takes {'one name' if schema.named else 'no name'}"
+                )
             )
             continue
-        title = line.words[1] if kind.named else ""
+        section_name = line.words[1] if schema.named else ""
         try:
-            title = name(title) if kind.named else ""
-        except InvalidValue as trouble:
-            faults.append(Diagnostic(file, line.number, str(trouble)))
+            section_name = name(section_name) if schema.named else ""
+        except InvalidValue as error:
+            errors.append(Diagnostic(file, line.number, str(error)))
             continue
-        key = (head, "" if kind.once else title)
+        key = (keyword, "" if schema.once else section_name)
         if key in seen:
-            faults.append(
+            errors.append(
                 Diagnostic(
                     file,
                     line.number,
-                    f"a second '{' '.join(line.words)}'; the first stands on line "
-                    f"{seen[key]}, one is allowed",
+                    f"a second '{' '.join(line.words)}'; the first is on line {seen[key]}, one is allowed",
                 )
             )
             continue
         seen[key] = line.number
-        open_ = _Found(head, title, line.number)
-        found.append(open_)
-    for section in found:
+        current = _ParsedSection(keyword, section_name, line.number)
+        sections.append(current)
+    for section in sections:
         for word, directive in SECTIONS[section.kind].directives.items():
-            if directive.needed and word not in section.values:
-                faults.append(
-                    Diagnostic(
-                        file, section.place, f"{section.kind} {section.name} lacks '{directive.usage}'"
-                    )
+            if directive.required and word not in section.values:
+                errors.append(
+                    Diagnostic(file, section.line, f"{section.kind} {section.name} lacks '{directive.usage}'")
                 )
                 section.values[word] = []
-    return found
+    return sections
 
 
-def _directive(section: _Found, line: Line, file: str, faults: list[Diagnostic]) -> None:
-    head, known = line.words[0], SECTIONS[section.kind].directives
-    if head not in known:
+def _parse_directive(section: _ParsedSection, line: Line, file: str, errors: list[Diagnostic]) -> None:
+    keyword, known = line.words[0], SECTIONS[section.kind].directives
+    if keyword not in known:
         allowed = ", ".join(known) or "no directive"
-        faults.append(
-            Diagnostic(file, line.number, f"'{head}' is unknown in {section.kind}; {allowed} are allowed")
+        errors.append(
+            Diagnostic(file, line.number, f"'{keyword}' is unknown in {section.kind}; {allowed} are allowed")
         )
         return
-    shape = known[head]
-    if head in section.places:
-        faults.append(
+    schema = known[keyword]
+    if keyword in section.lines:
+        errors.append(
             Diagnostic(
                 file,
                 line.number,
-                f"a second '{head}'; the first stands on line {section.places[head]}, one is allowed",
+                f"a second '{keyword}'; the first is on line {section.lines[keyword]}, one is allowed",
             )
         )
         return
-    section.places[head] = line.number
-    section.values.setdefault(head, [])
+    section.lines[keyword] = line.number
+    section.values.setdefault(keyword, [])
     rest = list(line.words[1:])
-    if len(rest) < len(shape.arguments):
-        faults.append(
-            Diagnostic(file, line.number, f"'{head}' lacks an argument; '{shape.usage}' is allowed")
+    if len(rest) < len(schema.arguments):
+        errors.append(
+            Diagnostic(file, line.number, f"'{keyword}' lacks an argument; '{schema.usage}' is allowed")
         )
         return
     try:
-        if shape.many:
-            section.values[head] = [shape.arguments[0](word) for word in rest]
+        if schema.repeatable:
+            section.values[keyword] = [schema.arguments[0](word) for word in rest]
             return
-        section.values[head] = [reader(rest.pop(0)) for reader in shape.arguments] or [True]
-        options = section.options.setdefault(head, {})
+        section.values[keyword] = [parse(rest.pop(0)) for parse in schema.arguments] or [True]
+        options = section.options.setdefault(keyword, {})
         while rest:
             word = rest.pop(0)
-            if word not in shape.options or word in options or not rest:
-                raise InvalidValue(f"'{word}' can't stand here; '{shape.usage}' is allowed")
-            options[word] = shape.options[word](rest.pop(0))
-    except InvalidValue as trouble:
-        faults.append(Diagnostic(file, line.number, f"{head}: {trouble}"))
+            if word not in schema.options or word in options or not rest:
+                raise InvalidValue(f"'{word}' is not allowed here; '{schema.usage}' is allowed")
+            options[word] = schema.options[word](rest.pop(0))
+    except InvalidValue as error:
+        errors.append(Diagnostic(file, line.number, f"{keyword}: {error}"))
 
 
-def _plan(found: Sequence[_Found], file: str, faults: list[Diagnostic]) -> ManagerConfig | None:
-    def of(kind: str) -> list[_Found]:
-        return [section for section in found if section.kind == kind]
+def _validate(
+    sections: Sequence[_ParsedSection], file: str, errors: list[Diagnostic]
+) -> ManagerConfig | None:
+    def sections_of(kind: str) -> list[_ParsedSection]:
+        return [section for section in sections if section.kind == kind]
 
-    def known(section: _Found, directive: str, names: set[str], what: str) -> None:
+    def check_reference(section: _ParsedSection, directive: str, names: set[str], kind: str) -> None:
         for value in section.values.get(directive, []):
             if value not in names:
-                allowed = ", ".join(sorted(names)) or f"none, as no {what} section stands in the file"
-                faults.append(
+                allowed = ", ".join(sorted(names)) or f"none, as the file has no {kind} section"
+                errors.append(
                     Diagnostic(
                         file,
-                        section.at(directive),
-                        f"{directive}: no {what} '{value}'; {allowed} are allowed",
+                        section.line_of(directive),
+                        f"{directive}: no {kind} '{value}'; {allowed} are allowed",
                     )
                 )
 
     for kind in ("manager", "region", "product"):
-        if not of(kind):
-            faults.append(
+        if not sections_of(kind):
+            errors.append(
                 Diagnostic(
                     file,
                     1,
-                    f"no '{kind}' section; {'one' if kind == 'manager' else 'at least one'} is needed",
+                    f"no '{kind}' section; {'one' if kind == 'manager' else 'at least one'} is required",
                 )
             )
-    regions = {section.name for section in of("region")}
-    models = {section.one("model", "any") for section in of("collector")}
-    for section in (*of("manager"), *of("gateway"), *of("collector")):
-        known(section, "region", regions, "region")
-    for section in of("product"):
-        known(section, "regions", regions, "region")
+    regions = {section.name for section in sections_of("region")}
+    models = {section.value("model", "any") for section in sections_of("collector")}
+    for section in (*sections_of("manager"), *sections_of("gateway"), *sections_of("collector")):
+        check_reference(section, "region", regions, "region")
+    for section in sections_of("product"):
+        check_reference(section, "regions", regions, "region")
         if models:
-            known(section, "models", models, "collector's model")
-        if section.one("sla") and section.one("expiry") and section.one("sla") > section.one("expiry"):
-            faults.append(
+            check_reference(section, "models", models, "collector's model")
+        if (
+            section.value("sla")
+            and section.value("expiry")
+            and section.value("sla") > section.value("expiry")
+        ):
+            errors.append(
                 Diagnostic(
                     file,
-                    section.at("sla"),
+                    section.line_of("sla"),
                     "the SLA time is longer than the expiry; at most the expiry is allowed",
                 )
             )
-    for section in of("manager"):
-        if section.one("memory") and section.one("list-file"):
-            what = "the memory keeps the list too; memory or list-file is allowed, not both"
-            faults.append(Diagnostic(file, section.at("list-file"), what))
-    for section in (*of("gateway"), *of("collector")):
+    for section in sections_of("manager"):
+        if section.value("memory") and section.value("list-file"):
+            message = "the memory keeps the list too; memory or list-file is allowed, not both"
+            errors.append(Diagnostic(file, section.line_of("list-file"), message))
+    for section in (*sections_of("gateway"), *sections_of("collector")):
         if "/" in section.name:
-            faults.append(
-                Diagnostic(file, section.place, "a '/' in a name; the runtime socket parts names with it")
+            errors.append(
+                Diagnostic(
+                    file,
+                    section.line,
+                    "a '/' in a name is not allowed; the runtime API separates names with it",
+                )
             )
-    _once_only(found, file, faults)
-    _dns(of, file, faults)
-    if faults:
+    _check_addresses(sections, file, errors)
+    _check_dns_labels(sections_of, file, errors)
+    if errors:
         return None
-    return _built(of)
+    return _build_config(sections_of)
 
 
-def _dns(of: Callable[[str], list[_Found]], file: str, faults: list[Diagnostic]) -> None:
-    """Products and regions stand as labels in the zone: each must be one, and none may mean two things."""
-    for section in of("dns"):
+def _check_dns_labels(
+    sections_of: Callable[[str], list[_ParsedSection]], file: str, errors: list[Diagnostic]
+) -> None:
+    """Names of products and regions become labels in the DNS zone: they must be valid labels and unique."""
+    for section in sections_of("dns"):
         try:
             domain(section.name)
-        except InvalidValue as trouble:
-            faults.append(Diagnostic(file, section.place, str(trouble)))
-    seen = {"servers": 0, "_tcp": 0} if of("dns") else {}
-    for section in (*of("product"), *of("region")) if of("dns") else ():
-        low = section.name.lower()
-        if not re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", low):
-            faults.append(
+        except InvalidValue as error:
+            errors.append(Diagnostic(file, section.line, str(error)))
+    seen = {"servers": 0, "_tcp": 0} if sections_of("dns") else {}
+    for section in (*sections_of("product"), *sections_of("region")) if sections_of("dns") else ():
+        label = section.name.lower()
+        if not re.fullmatch(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?", label):
+            errors.append(
                 Diagnostic(
                     file,
-                    section.place,
-                    f"'{section.name}' is no DNS label; letters, digits and - are allowed",
+                    section.line,
+                    f"'{section.name}' is not a valid DNS label; letters, digits and - are allowed",
                 )
             )
-        if low in seen:
-            where = f"a name of line {seen[low]}" if seen[low] else "a name of the zone's own"
-            faults.append(
+        if label in seen:
+            owner = f"the name on line {seen[label]}" if seen[label] else "a reserved name"
+            errors.append(
                 Diagnostic(
-                    file, section.place, f"'{section.name}' is {where} in the zone; another one is allowed"
+                    file, section.line, f"'{section.name}' is {owner} in the zone; another name is allowed"
                 )
             )
-        seen.setdefault(low, section.place)
+        seen.setdefault(label, section.line)
 
 
-def _once_only(found: Sequence[_Found], file: str, faults: list[Diagnostic]) -> None:
-    """One address for one thing: two names for one collector would take twice its share."""
+def _check_addresses(sections: Sequence[_ParsedSection], file: str, errors: list[Diagnostic]) -> None:
+    """Each address may be used once: a collector listed under two names would get twice its share."""
     seen = dict[tuple[str, str], int]()
-    for section in found:
-        places = {"gateway": "socket", "listen": "bind", "dns": "bind"}
-        place = places.get(section.kind, "address")
-        where: Address | None = section.one(place)
-        if where is None:
+    for section in sections:
+        directives = {"gateway": "socket", "listen": "bind", "dns": "bind"}
+        directive = directives.get(section.kind, "address")
+        found: Address | None = section.value(directive)
+        if found is None:
             continue
-        kind = (
+        transport = (
             "udp"
-            if section.kind == "peer" or section.one("peers") or section.one("reports") == "udp"
+            if section.kind == "peer" or section.value("peers") or section.value("reports") == "udp"
             else "stream"
         )
-        key = (kind, str(where))
+        key = (transport, str(found))
         if key in seen:
-            faults.append(
+            errors.append(
                 Diagnostic(
                     file,
-                    section.at(place),
-                    f"{where} is used on line {seen[key]} already; an address of its own is allowed",
+                    section.line_of(directive),
+                    f"{found} is used on line {seen[key]} already; another address is allowed",
                 )
             )
-        seen[key] = section.at(place)
+        seen[key] = section.line_of(directive)
 
 
-def _built(of: Callable[[str], list[_Found]]) -> ManagerConfig:
-    manager = of("manager")[0]
-    globals_ = of("global")[0] if of("global") else _Found("global", "", 0)
-    names = sorted([manager.name, *(peer.name for peer in of("peer"))])
+def _build_config(sections_of: Callable[[str], list[_ParsedSection]]) -> ManagerConfig:
+    manager = sections_of("manager")[0]
+    global_section = sections_of("global")[0] if sections_of("global") else _ParsedSection("global", "", 0)
+    names = sorted([manager.name, *(peer.name for peer in sections_of("peer"))])
     listeners = [
-        Listener(s.name, s.one("bind"), s.option("bind", "level", Level.OPERATOR))
-        for s in of("listen")
-        if not s.one("peers") and not s.one("reports")
+        Listener(s.name, s.value("bind"), s.option("bind", "level", Level.OPERATOR))
+        for s in sections_of("listen")
+        if not s.value("peers") and not s.value("reports")
     ]
-    holding = Holding()
-    regions = {s.name: tuple(s.values.get("clients", ())) for s in of("region")}
+    holding = HoldingTimes()
+    regions = {s.name: tuple(s.values.get("clients", ())) for s in sections_of("region")}
     return ManagerConfig(
-        log=LogSettings(globals_.one("log", "json"), globals_.option("log", "level", "info")),
+        log=LogSettings(global_section.value("log", "json"), global_section.option("log", "level", "info")),
         identity=Identity(
-            manager.name, names.index(manager.name), manager.one("region"), globals_.one("seed", 0)
+            manager.name, names.index(manager.name), manager.value("region"), global_section.value("seed", 0)
         ),
-        regions=tuple(section.name for section in of("region")),
+        regions=tuple(section.name for section in sections_of("region")),
         products=tuple(
             Product(
                 name=s.name,
-                sla_time=s.one("sla"),
-                expiry=s.one("expiry"),
-                rev=s.one("revenue"),
-                late_part=s.one("late", 0.0),
-                repeat=s.one("repeat"),
+                sla_time=s.value("sla"),
+                expiry=s.value("expiry"),
+                rev=s.value("revenue"),
+                late_part=s.value("late", 0.0),
+                repeat=s.value("repeat"),
                 group=s.option("repeat", "group", "all"),
                 window=s.option("repeat", "window", 0),
-                writes=bool(s.one("writes")),
-                home_only=bool(s.one("home-only")),
+                writes=bool(s.value("writes")),
+                home_only=bool(s.value("home-only")),
                 models=frozenset(s.values.get("models", ())),
                 zones=frozenset(s.values.get("regions", ())),
             )
-            for s in of("product")
+            for s in sections_of("product")
         ),
         channel=Channel(
-            lines_per_s=manager.one("channel-lines", 1500.0),
-            pending_max=manager.one("channel-waiting", 2500),
-            head=manager.one("channel-head", 3.0),
-            message_cap=manager.one("messages", 0),
-            cap_span=manager.option("messages", "per", 100_000) if manager.one("messages") else 0,
-            usual_way=manager.one("channel-way", 500),
+            lines_per_s=manager.value("channel-lines", 1500.0),
+            pending_max=manager.value("channel-waiting", 2500),
+            head=manager.value("channel-head", 3.0),
+            message_cap=manager.value("messages", 0),
+            cap_span=manager.option("messages", "per", 100_000) if manager.value("messages") else 0,
+            usual_way=manager.value("channel-way", 500),
             longest_way=manager.option("channel-way", "longest", 5000),
         ),
         guarantee=Guarantee(
-            bare=manager.one("bare", 80_000),
-            drain_grace=manager.one("grace", 40_000),
-            cold_time=manager.one("cold", 150_000),
+            bare=manager.value("bare", 80_000),
+            drain_grace=manager.value("grace", 40_000),
+            cold_time=manager.value("cold", 150_000),
             cold_from=manager.option("cold", "from", 0.17),
-            fall_multiple=manager.one("fall", 2.5),
+            fall_multiple=manager.value("fall", 2.5),
             fall_for=manager.option("fall", "for", 20_000),
             ask_within=0,
             dropped_stay_open=False,
         ),
-        level_unit=manager.one("levels", LevelUnit.RATIO),
-        may_probe=manager.one("probes", True),
-        holding=Holding(
-            manager.one("poll", holding.poll),
-            manager.one("takeover", holding.takeover),
-            manager.one("patience", holding.patience),
+        level_unit=manager.value("levels", LevelUnit.RATIO),
+        may_probe=manager.value("probes", True),
+        holding=HoldingTimes(
+            manager.value("poll", holding.poll),
+            manager.value("takeover", holding.takeover),
+            manager.value("patience", holding.patience),
         ),
-        list_file=manager.one("list-file", ""),
-        blind=manager.one("reports-trust", False),
-        guard=manager.one("guard", "on"),
+        list_file=manager.value("list-file", ""),
+        trust_reports=manager.value("reports-trust", False),
+        guard=manager.value("guard", "on"),
         gateways=tuple(
-            GatewayConfig(s.name, s.one("region"), s.one("socket"), s.one("usual", 10.0))
-            for s in of("gateway")
+            GatewayConfig(s.name, s.value("region"), s.value("socket"), s.value("usual", 10.0))
+            for s in sections_of("gateway")
         ),
         collectors=tuple(
             CollectorConfig(
                 s.name,
-                s.one("region"),
-                s.one("model", "any"),
-                s.one("size", 1.0),
-                s.one("address"),
-                s.one("cell", 0),
-                s.one("limit", 0.0),
-                s.one("connections", 0),
-                s.one("reports", ""),
+                s.value("region"),
+                s.value("model", "any"),
+                s.value("size", 1.0),
+                s.value("address"),
+                s.value("cell", 0),
+                s.value("limit", 0.0),
+                s.value("connections", 0),
+                s.value("reports", ""),
                 s.option("reports", "token", b""),
-                s.one("agent"),
+                s.value("agent"),
             )
-            for s in of("collector")
+            for s in sections_of("collector")
         ),
-        peers=tuple(PeerConfig(s.name, names.index(s.name), s.one("address")) for s in of("peer")),
-        peer_listener=next((s.one("bind") for s in of("listen") if s.one("peers")), None),
+        peers=tuple(PeerConfig(s.name, names.index(s.name), s.value("address")) for s in sections_of("peer")),
+        peer_listener=next((s.value("bind") for s in sections_of("listen") if s.value("peers")), None),
         listeners=tuple(listeners),
-        dns=next((_zone(section, regions) for section in of("dns")), None),
-        memory=manager.one("memory", ""),
-        report_listeners=tuple((s.one("reports"), s.one("bind")) for s in of("listen") if s.one("reports")),
+        dns=next((_build_dns(section, regions) for section in sections_of("dns")), None),
+        memory=manager.value("memory", ""),
+        report_listeners=tuple(
+            (s.value("reports"), s.value("bind")) for s in sections_of("listen") if s.value("reports")
+        ),
     )
 
 
-def _zone(section: _Found, regions: dict[str, tuple[str, ...]]) -> DnsConfig:
+def _build_dns(section: _ParsedSection, regions: dict[str, tuple[str, ...]]) -> DnsConfig:
     hosts = dict[str, list[str]]()
-    for title, where in section.values["ns"]:
-        hosts.setdefault(title, []).append(where)
+    for host_name, host_address in section.values["ns"]:
+        hosts.setdefault(host_name, []).append(host_address)
     apex = domain(section.name)
     return DnsConfig(
         apex,
-        section.one("bind"),
+        section.value("bind"),
         hosts,
-        section.one("mailbox", f"hostmaster.{apex}"),
-        section.one("named", 2),
-        section.one("usual", 10.0),
-        section.one("secret", b""),
-        section.one("split", True),
+        section.value("mailbox", f"hostmaster.{apex}"),
+        section.value("named", 2),
+        section.value("usual", 10.0),
+        section.value("secret", b""),
+        section.value("split", True),
         regions,
     )
--- a/rushladder/runtime/__init__.py
+++ b/rushladder/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime socket's grammar, both sides, after HAProxy's public management guide (section 9.3)."""
+"""The runtime API's line protocol, client and server side, after HAProxy's management guide (section 9.3)."""
--- a/rushladder/runtime/client.py
+++ b/rushladder/runtime/client.py
@@ -1,4 +1,4 @@
-"""A blocking client of runtime sockets, for the command line and the trials."""
+"""A blocking client for runtime sockets, used by the command line and the trials."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Endpoint(Protocol):
-    """Where a runtime socket listens: a path, or else an address and port."""
+    """Where a runtime socket listens: a UNIX socket path, or a host and port."""
 
     @property
     def path(self) -> str: ...
@@ -21,19 +21,21 @@
     def port(self) -> int: ...
 
 
-def send_commands(where: Endpoint, todo: list[Command], patience: float) -> list[str]:
-    """The answers of a runtime socket to the commands. Raises OSError if it can't be reached or falls
-    silent."""
-    with socket.socket(socket.AF_UNIX if where.path else socket.AF_INET) as wire:
-        wire.settimeout(patience)
-        wire.connect(where.path or (where.host, where.port))
+def send_commands(endpoint: Endpoint, commands: list[Command], timeout: float) -> list[str]:
+    """Sends commands to a runtime socket and returns their answers in order.
+
+    Raises OSError if the socket can't be reached or does not answer within the timeout (seconds).
+    """
+    with socket.socket(socket.AF_UNIX if endpoint.path else socket.AF_INET) as connection:
+        connection.settimeout(timeout)
+        connection.connect(endpoint.path or (endpoint.host, endpoint.port))
         parser, answers = AnswerParser(), list[str]()
-        wire.sendall(encode_commands([Command(("prompt",))]))
-        for command in todo:
-            wire.sendall(encode_commands([command]))
-        while len(answers) < len(todo) + 1:
-            data = wire.recv(65_536)
+        connection.sendall(encode_commands([Command(("prompt",))]))
+        for command in commands:
+            connection.sendall(encode_commands([command]))
+        while len(answers) < len(commands) + 1:
+            data = connection.recv(65_536)
             if not data:
-                raise ConnectionError("closed before all answers came")
+                raise ConnectionError("connection closed before all answers arrived")
             answers += parser.feed(data)
         return answers[1:]
--- a/rushladder/runtime/endpoint.py
+++ b/rushladder/runtime/endpoint.py
@@ -1,4 +1,7 @@
-"""The socket as Twisted protocols: a server over a table of commands, and a client that counts answers."""
+"""The runtime API as Twisted protocols: a server that runs commands of a table, and a client.
+
+The client matches answers to commands by their order.
+"""
 
 from __future__ import annotations
 
@@ -23,16 +26,17 @@
 )
 from rushladder.timing import Call, Clock
 
-IDLE_MOST = (
-    300.0  # s without a command before an interactive connection is closed: ten of an operator's pauses
-)
-STUCK_MOST = 20.0  # s that a client may leave answers unread: longer than any scheduler or network pause seen
-WAITING_MOST = 10_000  # commands of one connection not yet begun: a fleet's list told at once, ten times
+# Seconds without a command before an interactive connection is closed: ten times an operator's usual pause.
+IDLE_TIMEOUT = 300.0
+# Seconds that a client may leave answers unread: longer than any scheduler or network pause seen.
+UNREAD_TIMEOUT = 20.0
+# Commands of one connection not yet started: ten times what a fleet's whole list takes when sent at once.
+MAX_QUEUED_COMMANDS = 10_000
 CONNECTION_DONE = Failure(protocol.connectionDone)
 
 
 class Level(IntEnum):
-    """What a connection may do, as the guide's `level`."""
+    """What a connection is allowed to do, as HAProxy's `level`."""
 
     USER = 0
     OPERATOR = 1
@@ -40,7 +44,7 @@
 
 
 class CommandRefused(Exception):
-    """A command that can't be carried out; its text is the answer."""
+    """A command that can't be carried out. Its text is the answer that the client gets."""
 
 
 Handler = Callable[[Command, Level], "str | Awaitable[str]"]
@@ -48,7 +52,7 @@
 
 @attrs.frozen
 class CommandSpec:
-    """One command: the words it starts with, who may use it, a line of help, and what carries it out."""
+    """A command of the API: the words it starts with, the level it needs, its help line and its handler."""
 
     words: tuple[str, ...]
     level: Level
@@ -57,79 +61,80 @@
 
 
 class CommandTable:
-    """Finds a command by its leading words, in steps of one look-up a word."""
+    """The commands of an API. Finds one by its leading words; the longest match wins."""
 
-    def __init__(self, verbs: Sequence[CommandSpec]) -> None:
-        self.all = list(verbs)
-        self._tree: dict[tuple[str, ...], CommandSpec] = {verb.words: verb for verb in verbs}
-        self._longest = max((len(verb.words) for verb in verbs), default=0)
+    def __init__(self, commands: Sequence[CommandSpec]) -> None:
+        self.all = list(commands)
+        self._by_words: dict[tuple[str, ...], CommandSpec] = {spec.words: spec for spec in commands}
+        self._max_words = max((len(spec.words) for spec in commands), default=0)
 
     def find(self, words: tuple[str, ...]) -> CommandSpec | None:
-        for many in range(min(self._longest, len(words)), 0, -1):
-            if verb := self._tree.get(words[:many]):
-                return verb
+        for count in range(min(self._max_words, len(words)), 0, -1):
+            if spec := self._by_words.get(words[:count]):
+                return spec
         return None
 
     def help(self, level: Level) -> str:
-        return "".join(f"  {verb.usage}\n" for verb in self.all if verb.level <= level)
+        return "".join(f"  {spec.usage}\n" for spec in self.all if spec.level <= level)
 
 
 @implementer(interfaces.IPushProducer)
 class RuntimeServer(protocol.Protocol):
-    """One connection to a runtime socket. Commands are answered one after the other, in order.
+    """One connection to a runtime socket. Commands run one at a time, in order.
 
-    A client that does not read gets no more answers until it does: reading stops with writing.
+    Once the client stops reading, no further commands are read or run until it reads again.
     """
 
     def __init__(
         self,
-        verbs: CommandTable,
+        table: CommandTable,
         level: Level,
         clock: Clock,
-        on_fault: Callable[[str], None] = lambda text: None,
+        on_error: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self._verbs, self._level, self._clock, self._on_fault = verbs, level, clock, on_fault
-        self._parser, self._todo = CommandParser(), deque[Command | Overlong]()
-        self._interactive = self._prompts = self._busy = self._paused = self._closing = False
-        self._limit: Call | None = None
+        self._table, self._level, self._clock, self._on_error = table, level, clock, on_error
+        self._parser, self._queue = CommandParser(), deque[Command | Overlong]()
+        self._interactive = self._prompting = self._busy = self._paused = self._closing = False
+        self._timer: Call | None = None
 
     def connectionMade(self) -> None:
         self._transport().registerProducer(self, True)
-        self._wait(IDLE_MOST)
+        self._set_timeout(IDLE_TIMEOUT)
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
-        self._todo.clear()
+        self._queue.clear()
         self._closing = True
-        self._wait(None)
+        self._set_timeout(None)
 
     def dataReceived(self, data: bytes) -> None:
-        for found in self._parser.feed(data):
-            commands = (found,) if isinstance(found, Overlong) else found.commands or (Command(()),)
-            self._todo.extend(commands)
-            # The first line alone tells the mode: one line, its answers and the end; or a prompt after each.
+        for parsed in self._parser.feed(data):
+            commands = (parsed,) if isinstance(parsed, Overlong) else parsed.commands or (Command(()),)
+            self._queue.extend(commands)
+            # The first line decides the mode: with `prompt` the connection becomes interactive, otherwise it
+            # is closed after the answers to this line.
             self._interactive |= any(c.words[:1] == ("prompt",) for c in commands if isinstance(c, Command))
-            if len(self._todo) > WAITING_MOST:
-                self._on_fault(f"more than {WAITING_MOST} commands waiting on one connection")
+            if len(self._queue) > MAX_QUEUED_COMMANDS:
+                self._on_error(f"more than {MAX_QUEUED_COMMANDS} commands queued on one connection")
                 return self._transport().abortConnection()  # type: ignore[no-any-return]
             if not self._interactive:
                 self._closing = True
                 self._transport().pauseProducing()
                 break
-        if self._prompts and self._parser.in_payload:
+        if self._prompting and self._parser.in_payload:
             self._transport().write(b"+ ")
-        self._work()
+        self._process_queue()
 
     def pauseProducing(self) -> None:
         self._paused = True
         self._transport().pauseProducing()
-        self._wait(STUCK_MOST)
+        self._set_timeout(UNREAD_TIMEOUT)
 
     def resumeProducing(self) -> None:
         self._paused = False
         if not self._closing:
             self._transport().resumeProducing()
-        self._wait(IDLE_MOST)
-        self._work()
+        self._set_timeout(IDLE_TIMEOUT)
+        self._process_queue()
 
     def stopProducing(self) -> None:
         self._closing = True
@@ -137,128 +142,128 @@
     def _transport(self) -> Any:
         return self.transport
 
-    def _wait(self, seconds: float | None) -> None:
-        if self._limit is not None and self._limit.active():
-            self._limit.cancel()
-        self._limit = None
+    def _set_timeout(self, seconds: float | None) -> None:
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = None
         if seconds is not None:
-            self._limit = self._clock.callLater(seconds, self._transport().abortConnection)
+            self._timer = self._clock.callLater(seconds, self._transport().abortConnection)
 
-    def _work(self) -> None:
-        while self._todo and not self._busy and not self._paused:
-            item = self._todo.popleft()
+    def _process_queue(self) -> None:
+        while self._queue and not self._busy and not self._paused:
+            item = self._queue.popleft()
             if isinstance(item, Overlong):
-                self._on_fault(f"a {item.what} over {item.most} bytes")
-                self._answer(f"The {item.what} is over {item.most} bytes and was passed over.\n")
+                self._on_error(f"a {item.what} over {item.limit} bytes")
+                self._answer(f"The {item.what} is over {item.limit} bytes and was ignored.\n")
                 continue
             self._busy = True
-            self._run(item).addCallback(self._done)
-        if self._closing and not self._todo and not self._busy:
+            self._execute(item).addCallback(self._finish_command)
+        if self._closing and not self._queue and not self._busy:
             self._transport().loseConnection()
 
-    def _done(self, text: str) -> None:
+    def _finish_command(self, text: str) -> None:
         self._busy = False
         self._answer(text)
-        self._work()
+        self._process_queue()
 
     def _answer(self, text: str) -> None:
         if text and not text.endswith("\n"):
             text += "\n"
-        self._transport().write(text.encode() + (b"\n> " if self._prompts else b"\n"))
+        self._transport().write(text.encode() + (b"\n> " if self._prompting else b"\n"))
         if not self._paused:
-            self._wait(IDLE_MOST)
+            self._set_timeout(IDLE_TIMEOUT)
 
-    def _run(self, command: Command) -> Deferred[str]:
+    def _execute(self, command: Command) -> Deferred[str]:
         words = command.words
         if not words:
             return defer.succeed("")
         if words[0] in ("quit", "exit"):
             self._closing = True
-            self._todo.clear()
+            self._queue.clear()
             return defer.succeed("")
         if words[0] == "prompt":
-            self._prompts = not self._prompts
+            self._prompting = not self._prompting
             return defer.succeed("")
         if words[0] == "help":
             return defer.succeed(
-                "The following commands are valid at this level:\n" + self._verbs.help(self._level)
+                "The following commands are valid at this level:\n" + self._table.help(self._level)
             )
-        verb = self._verbs.find(words)
-        if verb is None:
+        spec = self._table.find(words)
+        if spec is None:
             return defer.succeed(
                 f"Unknown command: '{words[0][:64]}', but maybe one of the following ones is a "
-                f"better match:\n{self._verbs.help(self._level)}"
+                f"better match:\n{self._table.help(self._level)}"
             )
-        if verb.level > self._level:
+        if spec.level > self._level:
             return defer.succeed("Permission denied\n")
-        return defer.maybeDeferred(self._call, verb, command).addErrback(self._failed)
+        return defer.maybeDeferred(self._invoke, spec, command).addErrback(self._error_answer)
 
-    def _call(self, verb: CommandSpec, command: Command) -> Any:
-        found = verb.run(command, self._level)
-        return found if isinstance(found, str) else Deferred.fromCoroutine(found)  # type: ignore[arg-type]
+    def _invoke(self, spec: CommandSpec, command: Command) -> Any:
+        answer = spec.run(command, self._level)
+        return answer if isinstance(answer, str) else Deferred.fromCoroutine(answer)  # type: ignore[arg-type]
 
-    def _failed(self, failure: Failure) -> str:
+    def _error_answer(self, failure: Failure) -> str:
         if failure.check(CommandRefused):
             return f"{failure.value}\n"
-        self._on_fault(f"{failure.type.__name__ if failure.type else 'fault'}: {failure.value}")
+        self._on_error(f"{failure.type.__name__ if failure.type else 'error'}: {failure.value}")
         return "Internal error, see the log.\n"
 
 
 class RuntimeFactory(protocol.ServerFactory):
-    """Servers over one table of commands; at most `most` connections, the next ones are turned away."""
+    """Serves one table of commands to at most `max_connections` clients; further connections are refused."""
 
     def __init__(
         self,
-        verbs: CommandTable,
+        table: CommandTable,
         level: Level,
         clock: Clock,
         max_connections: int = 100,
-        on_fault: Callable[[str], None] = lambda text: None,
+        on_error: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self._verbs, self._level, self._clock, self._max_connections, self._on_fault = (
-            verbs,
+        self._table, self._level, self._clock, self._max_connections, self._on_error = (
+            table,
             level,
             clock,
             max_connections,
-            on_fault,
+            on_error,
         )
-        self._open = 0
+        self._connections = 0
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> protocol.Protocol | None:
-        if self._open >= self._max_connections:
-            self._on_fault("too many connections to the runtime socket")
+        if self._connections >= self._max_connections:
+            self._on_error("too many connections to the runtime socket")
             return None
-        self._open += 1
-        server = RuntimeServer(self._verbs, self._level, self._clock, self._on_fault)
+        self._connections += 1
+        server = RuntimeServer(self._table, self._level, self._clock, self._on_error)
         lost = server.connectionLost
 
-        def gone(reason: Failure = CONNECTION_DONE) -> None:
-            self._open -= 1
+        def connection_lost(reason: Failure = CONNECTION_DONE) -> None:
+            self._connections -= 1
             lost(reason)
 
-        server.connectionLost = gone  # type: ignore[method-assign]
+        server.connectionLost = connection_lost  # type: ignore[method-assign]
         return server
 
 
 class NoAnswer(Exception):
-    """The other side did not answer within its limit."""
+    """The server did not answer: the time limit passed or the connection was lost."""
 
 
 class RuntimeClient(protocol.Protocol):
-    """A client in interactive mode. `ask` sends one line of commands and fires with their answers.
+    """A client in interactive mode. `send` writes one line of commands and fires with their answers.
 
-    Answers come in the order of the commands, so one counter is all the matching there is. A side that is
-    silent for `patience` seconds, or answers with more than the bound, is disconnected: what it would say
-    later could not be told from another command's answer.
+    Answers arrive in the order of the commands and carry no id, so they are matched by counting. A server
+    that sends no answer for `timeout` seconds, or one over the size limit, is disconnected: its later answers
+    could no longer be matched to commands.
     """
 
     def __init__(
-        self, clock: Clock, patience: float, on_lost: Callable[[str], None] = lambda why: None
+        self, clock: Clock, timeout: float, on_lost: Callable[[str], None] = lambda reason: None
     ) -> None:
-        self._clock, self._patience, self._on_lost = clock, patience, on_lost
-        self._parser, self._asked = AnswerParser(), deque[tuple[int, list[str], Deferred[list[str]]]]()
-        self._limit: Call | None = None
-        self.open, self._why = False, "closed by the other side"
+        self._clock, self._timeout, self._on_lost = clock, timeout, on_lost
+        self._parser, self._pending = AnswerParser(), deque[tuple[int, list[str], Deferred[list[str]]]]()
+        self._timer: Call | None = None
+        self.open, self._close_reason = False, "connection closed by the server"
         self.greeting: Deferred[list[str]] | None = None
 
     def connectionMade(self) -> None:
@@ -266,19 +271,19 @@
         self.greeting = self.send(Command(("prompt",)))
 
     def send(self, *commands: Command) -> Deferred[list[str]]:
-        """The answers, one a command, in order. Fails with Silent once the connection is lost."""
+        """Returns one answer for each command, in order. Fails with NoAnswer once the connection is lost."""
         if not self.open:
-            return defer.fail(NoAnswer(self._why))
+            return defer.fail(NoAnswer(self._close_reason))
         try:
             data = encode_commands(commands)
-        except ValueError as fault:
-            return defer.fail(fault)
+        except ValueError as error:
+            return defer.fail(error)
         answers: Deferred[list[str]] = Deferred()
         for command in commands:
             self._parser.expect(len(command.payload or ()) + 1 if command.payload is not None else 0)
-        self._asked.append((len(commands), [], answers))
-        if self._limit is None:
-            self._limit = self._clock.callLater(self._patience, self._silent)
+        self._pending.append((len(commands), [], answers))
+        if self._timer is None:
+            self._timer = self._clock.callLater(self._timeout, self._timed_out)
         self._transport().write(data)
         return answers
 
@@ -286,45 +291,45 @@
         return self.transport
 
     def waiting(self) -> int:
-        """Commands sent and not yet answered."""
-        return sum(many - len(got) for many, got, _ in self._asked)
+        """Returns the number of commands sent and not yet answered."""
+        return sum(count - len(received) for count, received, _ in self._pending)
 
     def dataReceived(self, data: bytes) -> None:
         try:
-            found = self._parser.feed(data)
-        except AnswerTooLong as fault:
-            return self.drop(str(fault))
-        for answer in found:
-            if not self._asked:
-                return self.drop("an answer to no command")
-            many, got, answers = self._asked[0]
-            got.append(answer)
-            if len(got) == many:
-                self._asked.popleft()
-                self._again()
-                answers.callback(got)
-
-    def drop(self, why: str) -> None:
-        """Ends the connection at once."""
+            parsed = self._parser.feed(data)
+        except AnswerTooLong as error:
+            return self.drop(str(error))
+        for answer in parsed:
+            if not self._pending:
+                return self.drop("answer without a command")
+            count, received, answers = self._pending[0]
+            received.append(answer)
+            if len(received) == count:
+                self._pending.popleft()
+                self._restart_timer()
+                answers.callback(received)
+
+    def drop(self, reason: str) -> None:
+        """Aborts the connection."""
         if self.open:
-            self._why = why
+            self._close_reason = reason
             self._transport().abortConnection()
 
     def connectionLost(self, reason: Failure = CONNECTION_DONE) -> None:
         self.open = False
-        self._again()
-        asked, self._asked = self._asked, deque()
-        for _, _, answers in asked:
-            answers.errback(NoAnswer(self._why))
-        self._on_lost(self._why)
-
-    def _again(self) -> None:
-        if self._limit is not None and self._limit.active():
-            self._limit.cancel()
-        self._limit = (
-            self._clock.callLater(self._patience, self._silent) if self._asked and self.open else None
+        self._restart_timer()
+        pending, self._pending = self._pending, deque()
+        for _, _, answers in pending:
+            answers.errback(NoAnswer(self._close_reason))
+        self._on_lost(self._close_reason)
+
+    def _restart_timer(self) -> None:
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = (
+            self._clock.callLater(self._timeout, self._timed_out) if self._pending and self.open else None
         )
 
-    def _silent(self) -> None:
-        self._limit = None
-        self.drop(f"no answer within {self._patience:g} s")
+    def _timed_out(self) -> None:
+        self._timer = None
+        self.drop(f"no answer within {self._timeout:g} s")
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -118,7 +118,7 @@
                 listed.limit, listed.connections = site.limit, site.connections
         self.saved = self.roster.version
         self.reports, self.words = Reports(), deque[Words](maxlen=1)
-        self.desk, self.lanes = Desk(now, blind=plan.blind), list[Reading]()
+        self.desk, self.lanes = Desk(now, blind=plan.trust_reports), list[Reading]()
         self._reporters()
         self.core = Core(
             plan.identity.seed * 1000 + plan.identity.number,
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -137,7 +137,7 @@
         table = command_table(self.manager)
         for listener in self._plan.listeners:
             clear_path(listener.address)
-            factory = RuntimeFactory(table, listener.level, reactor, on_fault=self.manager.fault)
+            factory = RuntimeFactory(table, listener.level, reactor, on_error=self.manager.fault)
             await server_endpoint(listener.address).listen(factory)
         if self._plan.peer_listener is not None:
             link = PeerLink(
