--- a/rushladder/cli/__init__.py
+++ b/rushladder/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line, `rushladder`."""
--- a/rushladder/cli/main.py
+++ b/rushladder/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands of `rushladder`. Each answers bad input with one clear line and exit 2."""
+"""The sub-commands of `rushladder`. Invalid input gives a one-line error and exit status 2."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 main.add_command(store)
 
 
-def load(file: str) -> ManagerConfig:
-    """The plan of a file; prints every fault and leaves with 2 if there are any."""
+def load_config(file: str) -> ManagerConfig:
+    """Parses a configuration file. Prints all its errors and exits with status 2 if there are any."""
     try:
         return parse_config(Path(file).read_text(), file)
-    except InvalidConfig as faulty:
-        for fault in faulty.errors:
-            click.echo(str(fault), err=True)
-    except (OSError, UnicodeDecodeError) as trouble:
-        reason = trouble.strerror if isinstance(trouble, OSError) else "not text in UTF-8"
+    except InvalidConfig as invalid:
+        for diagnostic in invalid.errors:
+            click.echo(str(diagnostic), err=True)
+    except (OSError, UnicodeDecodeError) as error:
+        reason = error.strerror if isinstance(error, OSError) else "not UTF-8 text"
         click.echo(f"{file}:0: can't be read: {reason}", err=True)
     sys.exit(2)
 
@@ -46,15 +46,15 @@
 @click.argument("file")
 def run(file: str) -> None:
     """Runs the manager that FILE describes, until SIGTERM or SIGINT."""
-    plan = load(file)
-    from rushladder.service.run import run as serve  # the reactor is installed only where something runs
+    config = load_config(file)
+    from rushladder.service.run import run as serve  # installs the reactor, which only `run` needs
 
-    sys.exit(serve(plan))
+    sys.exit(serve(config))
 
 
 @main.command()
 def node() -> None:
-    """Runs a manager on the operators' platform, as the environment says (RELAY_CONFIG), until SIGTERM."""
+    """Runs a manager on the operators' platform until SIGTERM. RELAY_CONFIG names its configuration."""
     from rushladder.service.node import main as serve
 
     sys.exit(serve())
@@ -63,12 +63,12 @@
 @main.command()
 @click.argument("files", nargs=-1, required=True)
 def check(files: tuple[str, ...]) -> None:
-    """Checks configurations: prints every fault as file:line, and leaves with 2 if there is one."""
+    """Checks configuration files. Prints every error with file:line and exits with 2 if there is any."""
     for file in files:
-        plan = load(file)
+        config = load_config(file)
         click.echo(
-            f"{file}: manager {plan.identity.name}, {len(plan.gateways)} gateways, {len(plan.collectors)} "
-            f"collectors, {len(plan.products)} products: good"
+            f"{file}: manager {config.identity.name}, {len(config.gateways)} gateways, "
+            f"{len(config.collectors)} collectors, {len(config.products)} products: good"
         )
 
 
@@ -88,20 +88,20 @@
     """Sends COMMANDS, or the lines of standard input, to a runtime socket and prints the answers."""
     try:
         lines = list(commands) or sys.stdin.read().splitlines()
-        todo = [Command(words) for line in lines for words in split_commands(line)]
+        requests = [Command(words) for line in lines for words in split_commands(line)]
         failed = False
-        for answer in send_commands(address(where), todo, patience):
+        for answer in send_commands(address(where), requests, patience):
             rows = parse_table(answer) or parse_table(answer, None)
             click.echo(json.dumps(rows) if as_json and rows else answer, nl=as_json and bool(rows))
             failed = failed or answer.startswith(("Unknown command", "Permission denied"))
-    except (InvalidValue, ValueError, OSError, AnswerTooLong) as trouble:
-        click.echo(f"rushladder ctl: {where}: {trouble}", err=True)
+    except (InvalidValue, ValueError, OSError, AnswerTooLong) as error:
+        click.echo(f"rushladder ctl: {where}: {error}", err=True)
         sys.exit(2)
     sys.exit(1 if failed else 0)
 
 
-def chart_maker() -> Callable[..., list[Path]]:
-    """What draws the charts of a day; prints what to install and leaves with 2 where it is missing."""
+def load_chart_drawer() -> Callable[..., list[Path]]:
+    """Imports the charts module. Prints what to install and exits with 2 if a package is missing."""
     try:
         from rushladder.trials.charts import draw
     except ImportError as missing:
@@ -112,32 +112,36 @@
 
 @main.command()
 @click.argument("file")
-@click.option("--report", type=click.Path(file_okay=False), help="Writes charts of the day to this folder.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Keeps the records in this folder.")
-@click.option("--memory", type=click.Choice(["none", "kept", "wrong"]), help="What managers remember.")
-@click.option("--compare", is_flag=True, help="Plays the day again on standing tables, without managers.")
+@click.option(
+    "--report", type=click.Path(file_okay=False), help="Writes charts of the day to this directory."
+)
+@click.option("--keep", type=click.Path(file_okay=False), help="Keeps the records in this directory.")
+@click.option(
+    "--memory", type=click.Choice(["none", "kept", "wrong"]), help="What managers remember over a restart."
+)
+@click.option("--compare", is_flag=True, help="Also runs the day on fixed tables, without managers.")
 def trial(file: str, report: str | None, keep: str | None, memory: str | None, compare: bool) -> None:
-    """Plays the day in FILE with real managers and stand-ins on loopback, and judges it. Leaves with 1 if
-    a rule broke."""
+    """Runs the day in FILE with real managers and stand-ins on loopback, and evaluates it. Exits with 1 if a
+    rule was broken."""
     from rushladder.trials import day as days, judge, play
 
     if report:
-        draw = chart_maker()  # before the day is played: a missing package is told at once
+        draw = load_chart_drawer()  # first, so that a missing package is reported before the day runs
     try:
         day = days.read_day(Path(file).read_text(), file)
-    except InvalidConfig as faulty:
-        for fault in faulty.errors:
-            click.echo(str(fault), err=True)
+    except InvalidConfig as invalid:
+        for diagnostic in invalid.errors:
+            click.echo(str(diagnostic), err=True)
         sys.exit(2)
-    except (OSError, UnicodeDecodeError) as trouble:
-        click.echo(f"{file}:0: can't be read: {trouble}", err=True)
+    except (OSError, UnicodeDecodeError) as error:
+        click.echo(f"{file}:0: can't be read: {error}", err=True)
         sys.exit(2)
     if memory is not None:
         day = attrs.evolve(day, memory=memory)
     verdicts = []
     for steered in (True, False) if compare else (True,):
-        with tempfile.TemporaryDirectory(prefix="rl") as made:
-            folder = Path(made)
+        with tempfile.TemporaryDirectory(prefix="rl") as directory:
+            folder = Path(directory)
             play.Trial(day, folder, steered).play()
             rows = judge.load(folder)
             verdicts.append(judge.judge(day, rows))
@@ -161,17 +165,23 @@
 
 
 @main.command()
-@click.option("--seeds", default=1, show_default=True, help="How many seeds are played, one after the other.")
+@click.option("--seeds", default=1, show_default=True, help="Number of seeds to run, one after the other.")
 @click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--seconds", default=12.0, show_default=True, help="Length of a run, before its last look.")
-@click.option("--crowd/--no-crowd", default=None, help="Whether runs have a crowd; unset: every third has.")
+@click.option("--seconds", default=12.0, show_default=True, help="Length of a run, before its final check.")
+@click.option(
+    "--crowd/--no-crowd",
+    default=None,
+    help="Whether runs have a reconnect storm; by default every third has.",
+)
 def soak(seeds: int, first: int, seconds: float, crowd: bool | None) -> None:
-    """Plays seeded runs of the manager against the platform's stand-ins on loopback, with faults and signals.
-    Leaves with 1 if an aim of the protocol was not kept; the seed plays it again."""
+    """Runs the manager against the platform's stand-ins on loopback, with seeded faults and signals.
+
+    Exits with 1 if a goal of the protocol was missed; the same seed repeats the run.
+    """
     from rushladder.trials.soak import run as play
 
     if seeds < 1 or seconds < 4:
-        click.echo("rushladder soak: --seeds should be 1 or more, --seconds 4 or more", err=True)
+        click.echo("rushladder soak: --seeds has to be 1 or more, --seconds 4 or more", err=True)
         sys.exit(2)
     broken = play(first, seeds, seconds, crowd, click.echo)
     click.echo(f"{seeds} seeds, {broken} broke an aim")
--- a/rushladder/cli/store.py
+++ b/rushladder/cli/store.py
@@ -1,5 +1,4 @@
-"""`rushladder store`: what a manager's memory holds, whether it is whole, and writing it anew in one
-piece."""
+"""`rushladder store`: inspects, verifies and compacts the store of a manager."""
 
 from __future__ import annotations
 
@@ -16,44 +15,44 @@
 DIRECTORY = click.argument("directory", type=click.Path(exists=True, file_okay=False))
 
 
-def _failed(command: str, directory: str, trouble: Exception) -> None:
-    click.echo(f"rushladder store {command}: {directory}: {trouble}", err=True)
+def _fail(command: str, directory: str, error: Exception) -> None:
+    click.echo(f"rushladder store {command}: {directory}: {error}", err=True)
     sys.exit(2)
 
 
 @click.group()
 def store() -> None:
-    """Looks after the folder that a manager's `memory` names."""
+    """Inspects and maintains the directory that a manager's `memory` directive names."""
 
 
 @store.command()
 @DIRECTORY
 def inspect(directory: str) -> None:
-    """Lists the files of DIRECTORY, whose they are, and how many records of each kind hold. Changes
-    nothing."""
+    """Lists the files of DIRECTORY, the manager that they belong to, and how many records of each kind there
+    are. Read-only."""
     try:
         disk = Disk(directory, lock=False)
-        state, rows, whose = Counter[int](), list[str](), set[str]()
+        state, file_lines, owners = Counter[int](), list[str](), set[str]()
         newest = dict[tuple[int, str], bool]()
         for name in sorted(disk.names(), key=lambda name: (number_of(name) or 0, name.startswith("log-"))):
             data = disk.read(name)
             if number_of(name) is None:
-                rows.append(f"{name}: {len(data)} bytes, not read at start")
+                file_lines.append(f"{name}: {len(data)} bytes, not read at start")
                 continue
             found = read_file(name, data)
             header = header_of(data)
             if header is not None:
                 version = f"{header.major}.{header.minor}"
-                whose.add(f"fleet {header.fleet}, manager {header.manager}, version {version}")
-            begun = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(found.created / 1000))
-            many = f"{len(found.records)} records, {len(data)} bytes"
-            rows.append(f"{name}: {found.step.value}, {many}, {begun} UTC")
+                owners.add(f"fleet {header.fleet}, manager {header.manager}, version {version}")
+            created = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(found.created / 1000))
+            size = f"{len(found.records)} records, {len(data)} bytes"
+            file_lines.append(f"{name}: {found.step.value}, {size}, {created} UTC")
             for record in found.records:
                 newest[record.kind, record.key] = record.payload is not None
-        state.update(kind for (kind, _), there in newest.items() if there)
-    except OSError as trouble:
-        return _failed("inspect", directory, trouble)
-    for line in (*sorted(whose), *rows):
+        state.update(kind for (kind, _), present in newest.items() if present)
+    except OSError as error:
+        return _fail("inspect", directory, error)
+    for line in (*sorted(owners), *file_lines):
         click.echo(line)
     kinds = {int(kind): kind.name.lower() for kind in Kind}
     for kind, keys in sorted(state.items()):
@@ -63,8 +62,8 @@
 @store.command()
 @DIRECTORY
 def verify(directory: str) -> None:
-    """Reads every record of DIRECTORY. Leaves with 1 if something is damaged; a torn end is no damage."""
-    bad = 0
+    """Reads every record of DIRECTORY. Exits with 1 if one is damaged; a torn end is not damage."""
+    damaged = 0
     try:
         disk = Disk(directory, lock=False)
         for name in disk.names():
@@ -72,27 +71,27 @@
                 continue
             found = read_file(name, disk.read(name))
             if found.step not in (Step.WHOLE, Step.TORN):
-                bad += 1
+                damaged += 1
                 click.echo(f"{name}: {found.step.value}: {found.why}")
-    except OSError as trouble:
-        return _failed("verify", directory, trouble)
-    click.echo("damaged" if bad else "whole")
-    sys.exit(1 if bad else 0)
+    except OSError as error:
+        return _fail("verify", directory, error)
+    click.echo("damaged" if damaged else "whole")
+    sys.exit(1 if damaged else 0)
 
 
 @store.command()
 @DIRECTORY
 def compact(directory: str) -> None:
-    """Writes the whole state of DIRECTORY as one snapshot. Not while a manager runs on it."""
+    """Writes the whole state of DIRECTORY as one snapshot. Fails while a manager runs on it."""
     try:
         disk = Disk(directory)
         headers = [header for name in disk.names() if (header := header_of(disk.read(name))) is not None]
         if not headers:
-            raise Refused("no file of a store is here")
+            raise Refused("the directory holds no store files")
         log = Log(disk, headers[-1].fleet, headers[-1].manager, MINORS, wall=lambda: int(1000 * time.time()))
         log.open()
         log.snapshot()
         before, after = len(headers), len([name for name in disk.names() if number_of(name) is not None])
-    except (OSError, Locked, Refused) as trouble:
-        return _failed("compact", directory, trouble)
+    except (OSError, Locked, Refused) as error:
+        return _fail("compact", directory, error)
     click.echo(f"{len(log.state)} records; {before} files before, {after} now")
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""Stories of the runtime socket's grammar and endpoints, over in-memory transports and a virtual clock."""
+"""Tests of the runtime API's parsers and protocols, with in-memory transports and a virtual clock."""
 
 import unittest
 from typing import Any
@@ -40,51 +40,52 @@
 )
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
-    at = sorted({place % (len(data) + 1) for place in places})
-    return [data[a:b] for a, b in zip([0, *at], [*at, len(data)], strict=True)]
+def cut(data: bytes, positions: list[int]) -> list[bytes]:
+    """Splits the data at the given positions, taken modulo its length."""
+    cuts = sorted({position % (len(data) + 1) for position in positions})
+    return [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True)]
 
 
-class GrammarStories(unittest.TestCase):
+class GrammarTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(lines, rows, st.booleans(), st.lists(st.integers(0, 400), max_size=6))
-    def test_commands_come_back_however_the_bytes_are_cut(
-        self, commands: list[Command], payload: tuple[str, ...], has: bool, places: list[int]
+    def test_commands_are_parsed_however_the_bytes_are_split(
+        self, commands: list[Command], payload: tuple[str, ...], has_payload: bool, positions: list[int]
     ) -> None:
         last = commands[-1].words[-1]
         if last.startswith("<<") or " <<" in last:  # a word that opens a payload can't end a line
             return
-        if has:
+        if has_payload:
             commands = [*commands[:-1], Command(commands[-1].words, payload)]
         data = encode_commands(commands)
         parser, found = CommandParser(), list[Request | Overlong]()
-        for part in cut(data, places):
+        for part in cut(data, positions):
             found += parser.feed(part)
         self.assertEqual(found, [Request(tuple(commands))])
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=300), st.lists(st.integers(0, 300), max_size=5))
-    def test_any_bytes_give_the_same_requests_however_they_are_cut(
-        self, data: bytes, places: list[int]
+    def test_any_bytes_give_the_same_requests_however_they_are_split(
+        self, data: bytes, positions: list[int]
     ) -> None:
         whole = CommandParser(60, 100)
-        parts, found = CommandParser(60, 100), list[Request | Overlong]()
-        for part in cut(data, places):
-            found += parts.feed(part)
+        parser, found = CommandParser(60, 100), list[Request | Overlong]()
+        for part in cut(data, positions):
+            found += parser.feed(part)
         self.assertEqual(found, whole.feed(data))
 
-    def test_an_overlong_line_is_told_once_and_the_next_is_read(self) -> None:
+    def test_an_overlong_line_is_reported_once_and_the_next_is_read(self) -> None:
         parser = CommandParser(20)
         found = [
             item for part in (b"x" * 15, b"y" * 30, b"z" * 90, b"\nshow info\n") for item in parser.feed(part)
         ]
         self.assertEqual(found, [Overlong("line", 20), Request((Command(("show", "info")),))])
 
-    def test_an_overlong_payload_is_told_once_and_the_next_line_is_read(self) -> None:
+    def test_an_overlong_payload_is_reported_once_and_the_next_line_is_read(self) -> None:
         found = CommandParser(100, 20).feed(b"add map m <<\n" + b"key value\n" * 9 + b"\nshow info\n")
         self.assertEqual(found, [Overlong("payload", 20), Request((Command(("show", "info")),))])
 
-    def test_escapes_and_joined_commands(self) -> None:
+    def test_escapes_and_several_commands_in_a_line(self) -> None:
         self.assertEqual(split_commands(r"a b\ c;;d\;e ; f\\"), (("a", "b c"), ("d;e",), ("f\\",)))
 
     @settings(derandomize=True, deadline=None)
@@ -92,23 +93,23 @@
         st.lists(st.lists(words.filter(lambda w: w[0] not in ">+"), max_size=3), min_size=1, max_size=4),
         st.lists(st.integers(0, 200), max_size=5),
     )
-    def test_answers_come_back_however_the_bytes_are_cut(
-        self, answers: list[list[str]], places: list[int]
+    def test_answers_are_parsed_however_the_bytes_are_split(
+        self, answers: list[list[str]], positions: list[int]
     ) -> None:
         texts = ["".join(line + "\n" for line in answer) for answer in answers]
         data = "".join(text + "\n> " for text in texts).encode()
         parser, found = AnswerParser(), list[str]()
-        for part in cut(data, places):
+        for part in cut(data, positions):
             found += parser.feed(part)
         self.assertEqual(found, texts)
 
-    def test_an_answer_of_megabytes_ends_the_connection(self) -> None:
+    def test_an_answer_over_the_size_limit_raises(self) -> None:
         parser = AnswerParser(1000)
         with self.assertRaises(AnswerTooLong):
             for _ in range(300):
                 parser.feed(b"garbage")
 
-    def test_tables_are_read_by_column_name(self) -> None:
+    def test_tables_are_parsed_by_column_name(self) -> None:
         text = format_csv(("pxname", "svname", "stot"), [("collect", "c1", 5)])
         self.assertEqual(parse_table(text), [{"pxname": "collect", "svname": "c1", "stot": "5"}])
         self.assertEqual(
@@ -118,17 +119,17 @@
         self.assertEqual(parse_fields("Name: x\nUptime_sec: 4\n"), {"Name": "x", "Uptime_sec": "4"})
 
 
-class EndpointStories(unittest.TestCase):
+class EndpointTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.later = Clock(), Deferred[str]()
+        self.clock, self.slow_answer = Clock(), Deferred[str]()
 
         async def slow(command: Command, level: Level) -> str:
-            return await self.later
+            return await self.slow_answer
 
         def refuse(command: Command, level: Level) -> str:
             raise CommandRefused("No such server.")
 
-        self.verbs = CommandTable(
+        self.commands = CommandTable(
             [
                 CommandSpec(("show", "info"), Level.USER, "show info : facts", lambda c, v: "Name: x\n"),
                 CommandSpec(("show", "slow"), Level.USER, "show slow : later", slow),
@@ -137,50 +138,50 @@
         )
 
     def server(self, level: Level = Level.ADMIN) -> tuple[RuntimeServer, Any]:
-        server, wire = RuntimeServer(self.verbs, level, self.clock), StringTransport()
-        server.makeConnection(wire)  # type: ignore[no-untyped-call]
-        return server, wire
+        server, transport = RuntimeServer(self.commands, level, self.clock), StringTransport()
+        server.makeConnection(transport)  # type: ignore[no-untyped-call]
+        return server, transport
 
-    def test_one_line_is_answered_and_the_connection_closed(self) -> None:
-        server, wire = self.server()
+    def test_without_prompt_the_connection_closes_after_one_line(self) -> None:
+        server, transport = self.server()
         server.dataReceived(b"show info;set server a/b weight 1\n")
-        self.assertEqual(wire.value(), b"Name: x\n\nNo such server.\n\n")
-        self.assertTrue(wire.disconnecting)
+        self.assertEqual(transport.value(), b"Name: x\n\nNo such server.\n\n")
+        self.assertTrue(transport.disconnecting)
 
-    def test_interactive_answers_keep_the_order_behind_a_slow_one(self) -> None:
-        server, wire = self.server()
+    def test_answers_keep_the_order_of_commands_after_a_slow_one(self) -> None:
+        server, transport = self.server()
         server.dataReceived(b"prompt\nshow slow\nshow info\n")
-        self.assertEqual(wire.value(), b"\n> ")
-        self.later.callback("done")
-        self.assertEqual(wire.value(), b"\n> done\n\n> Name: x\n\n> ")
+        self.assertEqual(transport.value(), b"\n> ")
+        self.slow_answer.callback("done")
+        self.assertEqual(transport.value(), b"\n> done\n\n> Name: x\n\n> ")
 
     def test_levels_and_unknown_commands(self) -> None:
-        server, wire = self.server(Level.USER)
+        server, transport = self.server(Level.USER)
         server.dataReceived(b"prompt;set server a/b weight 1;sing\n")
-        self.assertIn(b"Permission denied", wire.value())
-        self.assertIn(b"Unknown command: 'sing'", wire.value())
+        self.assertIn(b"Permission denied", transport.value())
+        self.assertIn(b"Unknown command: 'sing'", transport.value())
 
-    def test_a_client_that_does_not_read_is_paused_and_in_the_end_dropped(self) -> None:
-        server, wire = self.server()
+    def test_a_client_that_does_not_read_is_paused_and_later_disconnected(self) -> None:
+        server, transport = self.server()
         server.dataReceived(b"prompt\n")
         server.pauseProducing()
         server.dataReceived(b"show info\n")
-        self.assertNotIn(b"Name", wire.value())
-        self.assertEqual(wire.producerState, "paused")
+        self.assertNotIn(b"Name", transport.value())
+        self.assertEqual(transport.producerState, "paused")
         self.clock.advance(30)
-        self.assertTrue(wire.disconnected)
+        self.assertTrue(transport.disconnected)
 
-    def test_commands_that_pile_up_behind_a_slow_one_end_the_connection(self) -> None:
-        server, wire = self.server()
+    def test_too_many_queued_commands_end_the_connection(self) -> None:
+        server, transport = self.server()
         server.dataReceived(b"prompt\nshow slow\n")
         for _ in range(30):
             server.dataReceived(b"show info\n" * 1000)
-            if wire.disconnected:
+            if transport.disconnected:
                 break
-        self.assertTrue(wire.disconnected)
+        self.assertTrue(transport.disconnected)
 
-    def test_connections_over_the_bound_are_turned_away(self) -> None:
-        factory = RuntimeFactory(self.verbs, Level.USER, self.clock, max_connections=1)
+    def test_connections_over_the_limit_are_refused(self) -> None:
+        factory = RuntimeFactory(self.commands, Level.USER, self.clock, max_connections=1)
         first = factory.buildProtocol(None)
         assert first is not None
         self.assertIsNone(factory.buildProtocol(None))
@@ -188,28 +189,30 @@
         first.connectionLost()
         self.assertIsNotNone(factory.buildProtocol(None))
 
-    def test_a_client_meets_a_server(self) -> None:
-        server, out = self.server()
-        client, wire = RuntimeClient(self.clock, 2.0), StringTransport()
-        client.makeConnection(wire)  # type: ignore[no-untyped-call]
-        got = list[list[str]]()
-        client.send(Command(("show", "info")), Command(("set", "server", "x/y z"))).addCallback(got.append)
-        server.dataReceived(wire.value())
-        client.dataReceived(out.value())
-        self.assertEqual(got, [["Name: x\n", "No such server.\n"]])
+    def test_a_client_and_a_server_exchange_commands_and_answers(self) -> None:
+        server, server_transport = self.server()
+        client, transport = RuntimeClient(self.clock, 2.0), StringTransport()
+        client.makeConnection(transport)  # type: ignore[no-untyped-call]
+        received = list[list[str]]()
+        client.send(Command(("show", "info")), Command(("set", "server", "x/y z"))).addCallback(
+            received.append
+        )
+        server.dataReceived(transport.value())
+        client.dataReceived(server_transport.value())
+        self.assertEqual(received, [["Name: x\n", "No such server.\n"]])
         self.assertEqual(client.waiting(), 0)
 
-    def test_a_silent_server_is_dropped_and_every_question_fails(self) -> None:
-        client, wire = RuntimeClient(self.clock, 2.0), StringTransport()
-        client.makeConnection(wire)  # type: ignore[no-untyped-call]
-        failed = list[Any]()
-        client.send(Command(("show", "info"))).addErrback(lambda f: failed.append(f.type))
+    def test_a_server_that_does_not_answer_is_disconnected_and_its_commands_fail(self) -> None:
+        client, transport = RuntimeClient(self.clock, 2.0), StringTransport()
+        client.makeConnection(transport)  # type: ignore[no-untyped-call]
+        failures = list[Any]()
+        client.send(Command(("show", "info"))).addErrback(lambda f: failures.append(f.type))
         assert client.greeting is not None
         client.greeting.addErrback(lambda f: None)
         self.clock.advance(3)
-        self.assertTrue(wire.disconnected)
+        self.assertTrue(transport.disconnected)
         client.connectionLost()
-        self.assertEqual(failed, [NoAnswer])
+        self.assertEqual(failures, [NoAnswer])
 
 
 if __name__ == "__main__":
