--- a/rushladder/conf/grammar.py
+++ b/rushladder/conf/grammar.py
@@ -211,7 +211,7 @@
     """Parses an IPv4 or IPv6 address without a port."""
     if re.fullmatch(r"\d{1,3}(?:\.\d{1,3}){3}|[0-9a-fA-F:]{2,39}", word):
         return word
-    raise InvalidValue(f"'{word}' is not a valid address; an IPv4 or IPv6 address without a port is allowed")
+    raise InvalidValue(f"'{word}' is no address; an IPv4 or IPv6 address without a port is allowed")
 
 
 def network(word: str) -> str:
@@ -220,7 +220,7 @@
         return str(ip_network(word))
     except ValueError:
         raise InvalidValue(
-            f"'{word[:80]}' is not a valid network; ADDRESS/LENGTH without host bits is allowed"
+            f"'{word[:80]}' is no network; ADDRESS/LENGTH without host bits is allowed"
         ) from None
 
 
@@ -257,6 +257,6 @@
     if match and 0 < int(match[2]) < 65_536 and all(int(b) < 256 for b in match[1].split(".") if b.isdigit()):
         return Address(host=match[1].strip("[]"), port=int(match[2]))
     raise InvalidValue(
-        f"'{word}' is not a valid address; ADDRESS:PORT, or unix@PATH of up to 100 bytes where a UNIX "
+        f"'{word}' is no address; ADDRESS:PORT, or unix@PATH of up to 100 bytes where a UNIX "
         "socket can be used, is allowed"
     )
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -399,11 +399,11 @@
                 Diagnostic(
                     file,
                     section.line,
-                    f"'{section.name}' is not a valid DNS label; letters, digits and - are allowed",
+                    f"'{section.name}' is no DNS label; letters, digits and - are allowed",
                 )
             )
         if label in seen:
-            owner = f"the name on line {seen[label]}" if seen[label] else "a reserved name"
+            owner = f"the name on line {seen[label]}" if seen[label] else "a name of the zone's own"
             errors.append(
                 Diagnostic(
                     file, section.line, f"'{section.name}' is {owner} in the zone; another name is allowed"
--- a/rushladder/service/__init__.py
+++ b/rushladder/service/__init__.py
@@ -1,1 +1,1 @@
-"""Builds a manager from its configuration, starts it and stops it."""
+"""Builds a manager from its configuration, connects it to its sockets and runs it."""
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -1,4 +1,4 @@
-"""The manager's own runtime API: which command does what. See docs/runtime-api.md for the page."""
+"""The commands of a manager's runtime API. They are documented in docs/runtime-api.md."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.defer import TimeoutError as Late
+from twisted.internet.defer import TimeoutError as TimedOut
 
 from rushladder import __version__
 from rushladder.conf.grammar import InvalidValue, duration, inet, name, number
@@ -24,9 +24,10 @@
 from rushladder.store.memory import Kind
 from rushladder.timing import TENTHS, tenths
 
-PREPARED_MOST, LINES_MOST = 16, 20_000  # versions begun and not committed; 20 products x 1,000 servers
-SHOWN = 20  # resolvers of a pool that are shown: those who bring most
-FLEET = "fleet"  # the backend that stands for all collectors
+# Uncommitted versions, and lines of each: 20 products x 1,000 servers.
+MAX_PREPARED, MAX_PREPARED_LINES = 16, 20_000
+MAX_RESOLVERS_SHOWN = 20  # of each pool: those with the most traffic
+FLEET = "fleet"  # the name of the backend that holds all collectors
 STATES = {"ready": Availability.READY, "drain": Availability.DRAINING, "maint": Availability.GONE}
 STATUS = {Availability.READY: "UP", Availability.DRAINING: "DRAIN", Availability.GONE: "MAINT"}
 COLUMNS = (
@@ -52,11 +53,11 @@
 
 
 def command_table(manager: Manager) -> CommandTable:
-    """All commands, with who may use them."""
-    api = Api(manager)
-    plain = CommandTable(
+    """All commands of the API, with the level that each needs."""
+    api = RuntimeApi(manager)
+    table = CommandTable(
         [
-            CommandSpec(tuple(words.split()), level, usage, _refusing(run))
+            CommandSpec(tuple(words.split()), level, usage, _with_refusals(run))
             for words, level, usage, run in (
                 ("show info", Level.USER, "show info [json] : facts about this manager", api.info),
                 ("show version", Level.USER, "show version : its version", lambda words: f"{__version__}\n"),
@@ -67,48 +68,58 @@
                     "show servers state [fleet] : the list of collectors",
                     api.servers,
                 ),
-                ("show backend", Level.USER, "show backend : fleet, and the products", api.backend),
+                (
+                    "show backend",
+                    Level.USER,
+                    "show backend : names of the backends: fleet, and the products",
+                    api.backend,
+                ),
                 (
                     "show map",
                     Level.OPERATOR,
-                    "show map [levels|retries] : what is let in, and the retry rule",
+                    "show map [levels|retries] : admission levels, and the retry rules",
                     api.map,
                 ),
                 (
                     "show sess",
                     Level.OPERATOR,
-                    "show sess : gateways, who holds them, what waits in each channel",
+                    "show sess : gateways, their holders, and lines waiting in each channel",
                     api.sess,
                 ),
                 (
                     "show table",
                     Level.OPERATOR,
-                    "show table GATEWAY : what a gateway should hold, and holds",
+                    "show table GATEWAY : lines that a gateway should have, and has",
                     api.table,
                 ),
                 (
                     "show errors",
                     Level.OPERATOR,
-                    "show errors : the last faults, with how often they came",
+                    "show errors : the last errors, with how often each occurred",
                     api.errors,
                 ),
-                ("show dns", Level.USER, "show dns : what became of questions; the pools' split", api.dns),
+                (
+                    "show dns",
+                    Level.USER,
+                    "show dns : outcomes of queries, and the split of each pool",
+                    api.dns,
+                ),
                 (
                     "show dns resolvers",
                     Level.OPERATOR,
-                    "show dns resolvers : who asks, and what each is taken to bring",
+                    "show dns resolvers : resolvers, and the estimated traffic of each",
                     api.resolvers,
                 ),
                 (
                     "show load",
                     Level.USER,
-                    "show load [SERVER] : what servers report of their load, and what it is worth",
+                    "show load [SERVER] : load that servers report, and how far it is trusted",
                     api.load,
                 ),
                 (
                     "show intake",
                     Level.USER,
-                    "show intake : what became of the reports, the spread of loads, heavy senders",
+                    "show intake : outcomes of load reports, their distribution, heavy senders",
                     api.intake,
                 ),
                 (
@@ -123,26 +134,46 @@
                     "show table history : versions of the factors",
                     api.history,
                 ),
-                ("show table diff", Level.OPERATOR, "show table diff A B : factors that differ", api.diff),
+                (
+                    "show table diff",
+                    Level.OPERATOR,
+                    "show table diff A B : factors that differ between two versions",
+                    api.diff,
+                ),
                 (
                     "show table refused",
                     Level.OPERATOR,
-                    "show table refused : changes refused, and why",
+                    "show table refused : refused changes, and why",
                     api.refused,
                 ),
-                ("show wave", Level.OPERATOR, "show wave : the change on its way", api.wave),
+                ("show wave", Level.OPERATOR, "show wave : the change being rolled out", api.wave),
                 (
                     "set weight",
                     Level.ADMIN,
-                    "set weight PRODUCT/SERVER PERCENT% : times the decided",
+                    "set weight PRODUCT/SERVER PERCENT% : multiplies the computed weight",
                     api.weight,
                 ),
-                ("prepare table", Level.ADMIN, "prepare table : a new version to fill", api.prepare),
+                (
+                    "prepare table",
+                    Level.ADMIN,
+                    "prepare table : opens a new version of the factors",
+                    api.prepare,
+                ),
                 ("add table", Level.ADMIN, "add table @V PRODUCT/SERVER PERCENT%", api.add_line),
-                ("commit table", Level.ADMIN, "commit table @V [WHY...] : judged, then in waves", api.commit),
-                ("rollback to", Level.ADMIN, "rollback to N : back to a version", api.rollback),
-                ("enable server", Level.ADMIN, "enable server fleet/NAME : as state ready", api.enable),
-                ("disable server", Level.ADMIN, "disable server fleet/NAME : as state maint", api.disable),
+                (
+                    "commit table",
+                    Level.ADMIN,
+                    "commit table @V [WHY...] : checks a version and rolls it out in waves",
+                    api.commit,
+                ),
+                ("rollback to", Level.ADMIN, "rollback to N : returns to a version", api.rollback),
+                ("enable server", Level.ADMIN, "enable server fleet/NAME : same as state ready", api.enable),
+                (
+                    "disable server",
+                    Level.ADMIN,
+                    "disable server fleet/NAME : same as state maint",
+                    api.disable,
+                ),
                 (
                     "add server",
                     Level.ADMIN,
@@ -152,13 +183,13 @@
                 (
                     "del server",
                     Level.ADMIN,
-                    "del server fleet/NAME : takes one in maintenance off the list",
+                    "del server fleet/NAME : removes a server in maintenance from the list",
                     api.del_server,
                 ),
                 (
                     "show store",
                     Level.USER,
-                    "show store : what is remembered over a restart, and what came back",
+                    "show store : state kept over a restart, and what was restored",
                     api.store,
                 ),
             )
@@ -167,43 +198,45 @@
     once = CommandSpec(
         ("once",),
         Level.OPERATOR,
-        "once ID COMMAND... : carried out once, however often it is sent, over restarts too",
-        Once(manager, plain).run,
+        "once ID COMMAND... : runs a command once, however often it is sent, also over restarts",
+        OnceCommand(manager, table).run,
     )
-    return CommandTable([*plain.all, once])
+    return CommandTable([*table.all, once])
 
 
-Run = Callable[[tuple[str, ...]], str]
+Handler = Callable[[tuple[str, ...]], str]
 
 
-def _field(place: int, key: str, value: str | int) -> dict[str, object]:
-    """One fact in the guide's JSON form of `show info`."""
+def _field(index: int, key: str, value: str | int) -> dict[str, object]:
+    """One field of `show info json`, as HAProxy formats it."""
     kind = "str" if isinstance(value, str) else "u64"
     return {
-        "field": {"pos": place, "name": key},
+        "field": {"pos": index, "name": key},
         "processNum": 1,
         "tags": {"origin": "Product", "nature": "Output", "scope": "Process"},
         "value": {"type": kind, "value": value},
     }
 
 
-def _refusing(run: Run) -> Callable[[Command, Level], str]:
+def _with_refusals(run: Handler) -> Callable[[Command, Level], str]:
+    """Turns errors of a handler about its arguments into refusals."""
+
     def call(command: Command, level: Level) -> str:
         try:
             return run(command.words)
-        except (NoSuch, InvalidValue) as trouble:
-            raise CommandRefused(f"{trouble}") from None
+        except (NoSuch, InvalidValue) as error:
+            raise CommandRefused(f"{error}") from None
         except IndexError:
             raise CommandRefused("An argument is missing, see 'help'.") from None
 
     return call
 
 
-class Once:
-    """Carries out commands that bear an id; what to do with a repeat is decided in `store.commands`."""
+class OnceCommand:
+    """Runs commands that carry an id at most once. `store.commands` decides how a repeated one is handled."""
 
-    def __init__(self, manager: Manager, verbs: CommandTable) -> None:
-        self._manager, self._verbs, self._journal = manager, verbs, manager.journal
+    def __init__(self, manager: Manager, commands: CommandTable) -> None:
+        self._manager, self._commands, self._journal = manager, commands, manager.journal
 
     async def run(self, command: Command, level: Level) -> str:
         words = command.words
@@ -212,68 +245,70 @@
                 f"once ID COMMAND...; an ID has 1 to {LONGEST_ID} letters, digits, and . : - _"
             )
         name, inner = words[1], Command(words[2:], command.payload)
-        verb = self._verbs.find(inner.words)
+        spec = self._commands.find(inner.words)
         text = " ".join(inner.words)
-        if verb is None or len(text) > LONGEST:
+        if spec is None or len(text) > LONGEST:
             raise CommandRefused(f"Unknown command, or over {LONGEST} characters; see 'help'.")
-        if verb.level > level:
+        if spec.level > level:
             return "Permission denied\n"
         memory = self._manager.memory
         now = memory.now() if memory is not None else 0
-        effect = self._journal.begin(name, text, repeatable(verb.words), now)
+        effect = self._journal.begin(name, text, repeatable(spec.words), now)
         if effect is Effect.ANSWER:
             return self._journal[name].answer
         if effect is not Effect.RUN:
             raise CommandRefused(f"Not carried out: {effect.value}.")
         if memory is not None:
             try:
-                await self._sure(name)
-            except Late:
+                await self._make_durable(name)
+            except TimedOut:
                 self._journal.never_ran(name)
                 memory.writer.put(Kind.COMMAND, name, None)
                 raise CommandRefused(
-                    "Not carried out: it could not be noted, the disk fails or is slow."
+                    "Not carried out: it could not be recorded, the disk fails or is slow."
                 ) from None
         try:
-            answer = verb.run(inner, level)
+            answer = spec.run(inner, level)
             answer = answer if isinstance(answer, str) else await answer
         except CommandRefused as refused:
             answer = f"{refused}\n"
         self._journal.answered(name, answer)
         if memory is not None:
-            self._manager.remember_changes()
+            self._manager.store_changes()
             try:
-                await self._sure(name)
-            except Late:
+                await self._make_durable(name)
+            except TimedOut:
                 raise CommandRefused(
-                    f"Carried out, but not noted, as the disk fails or is slow: {answer}"
+                    f"Carried out, but not recorded, as the disk fails or is slow: {answer}"
                 ) from None
         return answer
 
-    async def _sure(self, name: str) -> None:
+    async def _make_durable(self, name: str) -> None:
         memory = self._manager.memory
         assert memory is not None
-        memory.noted(name)
+        memory.record_command(name)
         clock: Any = self._manager.clock
-        await memory.sure().addTimeout(SURE_MOST, clock)
+        await memory.flush().addTimeout(SURE_MOST, clock)
+
 
+class RuntimeApi:
+    """The handlers of the commands. Each takes the words of its command and returns the answer."""
 
-class Api:
     def __init__(self, manager: Manager) -> None:
         self._manager, self._core, self._roster = manager, manager.core, manager.roster
-        self._version, self._prepared = 0, dict[int, list[tuple[tuple[str, str], float]]]()
+        self._prepared_version, self._prepared = 0, dict[int, list[tuple[tuple[str, str], float]]]()
 
     def info(self, words: tuple[str, ...]) -> str:
-        manager, up = self._manager, self._manager.clock.seconds() - self._manager.started
+        manager, uptime = self._manager, self._manager.clock.seconds() - self._manager.started
         owed, sent = self._core.waiting()
         unanswered = sum(driver.waiting() for driver in manager.drivers)
         facts: dict[str, str | int] = {
             "Name": "rushladder",
             "Version": __version__,
-            "Node": manager.plan.identity.name,
-            "Region": manager.plan.identity.region,
-            "Uptime_sec": int(up),
-            "Beats": manager.beats,
+            "Node": manager.config.identity.name,
+            "Region": manager.config.identity.region,
+            "Uptime_sec": int(uptime),
+            "Beats": manager.periods,
             "Events": manager.events,
             "Gateways": len(manager.drivers),
             "GatewaysHeld": sum(driver.port is not None for driver in manager.drivers),
@@ -283,11 +318,11 @@
             "LinesOwed": owed,
             "LinesSent": sent,
             "CommandsUnanswered": unanswered,
-            "Errors": sum(fault.many for fault in manager.errors),
+            "Errors": sum(error.count for error in manager.errors),
         }
         if words[2:3] == ("json",):
             return (
-                json.dumps([_field(place, key, value) for place, (key, value) in enumerate(facts.items())])
+                json.dumps([_field(index, key, value) for index, (key, value) in enumerate(facts.items())])
                 + "\n"
             )
         return "".join(f"{key}: {value}\n" for key, value in facts.items())
@@ -323,18 +358,18 @@
             )
         used = dict[str, int]()
         for port in self._core.ports.values():
-            carries = {
+            carried = {
                 key[1] for key, line in port.held.lines.items() if line.weight and line.admin is Admin.READY
             }
-            for server in carries:
+            for server in carried:
                 used[server] = used.get(server, 0) + 1
         for one in self._roster.listed.values():
-            many, voided, _, _, rate = one.server.seen(now, 5)
+            count, voided, _, _, rate = one.server.seen(now, 5)
             rows.append(
                 {
                     "pxname": FLEET,
                     "svname": one.server.name,
-                    "stot": int(many),
+                    "stot": int(count),
                     "eresp": int(voided),
                     "status": STATUS[one.availability],
                     "weight": one.size,
@@ -358,11 +393,11 @@
             "srv_time_since_last_change srv_port region model\n"
         )
         bits = {Availability.READY: 0, Availability.DRAINING: 8, Availability.GONE: 1}
-        for place, one in enumerate(self._roster.listed.values(), 1):
+        for index, one in enumerate(self._roster.listed.values(), 1):
             host, port = one.address.rsplit(":", 1)
             age = (now - one.started_at) // TENTHS if one.started_at else -1
             text += (
-                f"1 {FLEET} {place} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
+                f"1 {FLEET} {index} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
                 f"{bits[one.availability]} {one.size:g} {age} {port} {one.server.zone} {one.server.model}\n"
             )
         return text
@@ -375,11 +410,11 @@
             return f"# id (file) description\n0 ({LEVELS_MAP}) let in\n1 ({RETRIES_MAP}) retry rule\n"
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
             raise CommandRefused("Unknown map identifier. Please use levels or retries.")
-        text, place = "", 0
+        text, index = "", 0
         for port in self._core.ports.values():
             for key, value in self._core.maps(port)[words[2]].items():
-                place += 1
-                text += f"0x{place:x} {port.gateway.name}/{key} {value}\n"
+                index += 1
+                text += f"0x{index:x} {port.gateway.name}/{key} {value}\n"
         return text
 
     def sess(self, words: tuple[str, ...]) -> str:
@@ -420,14 +455,14 @@
 
     def errors(self, words: tuple[str, ...]) -> str:
         now = self._manager.clock.seconds()
-        total = sum(fault.many for fault in self._manager.errors)
+        total = sum(error.count for error in self._manager.errors)
         return f"Total events captured : {total}\n" + "".join(
-            f"[{now - fault.at:.1f}s ago] {fault.many} x {fault.what}\n" for fault in self._manager.errors
+            f"[{now - error.at:.1f}s ago] {error.count} x {error.message}\n" for error in self._manager.errors
         )
 
-    # Factors on the decided weights, through the guard.
+    # Factors that multiply the computed weights. Changes go through the guard.
 
-    def _factor(self, word: str, percent: str) -> tuple[tuple[str, str], float]:
+    def _parse_factor(self, word: str, percent: str) -> tuple[tuple[str, str], float]:
         product, _, server = word.partition("/")
         if not server:
             raise CommandRefused("Require 'product/server'.")
@@ -435,9 +470,9 @@
 
     def _propose(self, why: str, changes: list[tuple[tuple[str, str], float]]) -> str:
         gateways, warden = self._core.using({key for key, _ in changes}), self._core.warden
-        return self._stands(lambda now: warden.propose("operator", why, changes, gateways, now))
+        return self._apply(lambda now: warden.propose("operator", why, changes, gateways, now))
 
-    def _stands(self, change: Callable[[int], Version]) -> str:
+    def _apply(self, change: Callable[[int], Version]) -> str:
         warden = self._core.warden
         try:
             version = change(tenths(self._manager.clock))
@@ -447,34 +482,34 @@
         self._manager.handle_events()
         wave = warden.wave
         out = wave is not None and not wave.over and wave.number == version.number
-        self._manager.told("table.accepted", version=version.number, why=version.why, wave=out)
+        self._manager.log_event("table.accepted", version=version.number, why=version.why, wave=out)
         return f"Version {version.number} {'goes out in waves' if out else 'stands'}.\n"
 
     def weight(self, words: tuple[str, ...]) -> str:
-        return self._propose(" ".join(words), [self._factor(words[2], words[3])])
+        return self._propose(" ".join(words), [self._parse_factor(words[2], words[3])])
 
     def prepare(self, words: tuple[str, ...]) -> str:
-        self._version += 1
-        self._prepared[self._version] = []
-        while len(self._prepared) > PREPARED_MOST:
+        self._prepared_version += 1
+        self._prepared[self._prepared_version] = []
+        while len(self._prepared) > MAX_PREPARED:
             del self._prepared[next(iter(self._prepared))]
-        return f"New version created: {self._version}\n"
+        return f"New version created: {self._prepared_version}\n"
 
-    def _lines_of(self, word: str) -> list[tuple[tuple[str, str], float]]:
+    def _prepared_lines(self, word: str) -> list[tuple[tuple[str, str], float]]:
         version = word.removeprefix("@")
         if not version.isdigit() or int(version) not in self._prepared:
             raise CommandRefused("Unknown version of the table.")
         return self._prepared[int(version)]
 
     def add_line(self, words: tuple[str, ...]) -> str:
-        lines = self._lines_of(words[2])
-        if len(lines) >= LINES_MOST:
-            raise CommandRefused(f"The version is full; {LINES_MOST} lines are allowed.")
-        lines.append(self._factor(words[3], words[4]))
+        lines = self._prepared_lines(words[2])
+        if len(lines) >= MAX_PREPARED_LINES:
+            raise CommandRefused(f"The version is full; {MAX_PREPARED_LINES} lines are allowed.")
+        lines.append(self._parse_factor(words[3], words[4]))
         return ""
 
     def commit(self, words: tuple[str, ...]) -> str:
-        lines = self._lines_of(words[2])
+        lines = self._prepared_lines(words[2])
         del self._prepared[int(words[2].removeprefix("@"))]
         return self._propose(" ".join(words[3:]) or "commit table", lines)
 
@@ -484,7 +519,7 @@
         warden = self._core.warden
         keys = {key for one in warden.history.all() for key in one.factors}
         gateways = self._core.using(keys)
-        return self._stands(lambda now: warden.rollback("operator", int(words[2]), gateways, now))
+        return self._apply(lambda now: warden.rollback("operator", int(words[2]), gateways, now))
 
     @staticmethod
     def _age(at: int, now: int) -> int:
@@ -549,11 +584,11 @@
     def intake(self, words: tuple[str, ...]) -> str:
         desk, now = self._manager.desk, tenths(self._manager.clock)
         loads, ages = desk.spread(now)
-        text = "".join(f"{fate.name}: {many}\n" for fate, many in desk.counts.items())
+        text = "".join(f"{fate.name}: {count}\n" for fate, count in desk.counts.items())
         text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
-        for what, sketch in (("load", loads), ("age_s", ages)):
+        for quantity, sketch in (("load", loads), ("age_s", ages)):
             text += "".join(
-                f"{what}_p{round(100 * part)}: {sketch.quantile(part):.3f}\n" for part in (0.5, 0.9, 0.99)
+                f"{quantity}_p{round(100 * part)}: {sketch.quantile(part):.3f}\n" for part in (0.5, 0.9, 0.99)
             )
         return text + "".join(
             f"heavy: {sender} {count} dropped, over by {over} at most\n"
@@ -584,7 +619,9 @@
             "Commands_unknown": memory.journal.unknown,
         }
         text = "".join(f"{key}: {value}\n" for key, value in facts.items())
-        text += "".join(f"server memories, {sign.value}: {many}\n" for sign, many in memory.signs.items())
+        text += "".join(
+            f"server memories, {sign.value}: {count}\n" for sign, count in memory.record_counts.items()
+        )
         return text + "".join(f"set aside: {damage}\n" for damage in opened.damage)
 
     # The DNS front.
@@ -593,7 +630,7 @@
         front = self._manager.dns
         if front is None:
             raise CommandRefused("No zone is configured.")
-        text = "".join(f"{fate.name}: {many}\n" for fate, many in front.counts.items())
+        text = "".join(f"{fate.name}: {count}\n" for fate, count in front.counts.items())
         text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
         rows = list[list[object]]()
         for (product, region), pool in front.pools.items():
@@ -630,15 +667,17 @@
                 " ".join(asker.servers),
             ]
             for (product, region), pool in front.pools.items()
-            for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[:SHOWN]
+            for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[
+                :MAX_RESOLVERS_SHOWN
+            ]
         ]
         return format_csv(
             ("pxname", "region", "resolver", "asked", "txns_s", "by_waits", "known", "age_s", "servers"), rows
         )
 
-    # Changes of the list.
+    # Changes to the list.
 
-    def _name(self, word: str) -> str:
+    def _server_name(self, word: str) -> str:
         backend, _, server = word.partition("/")
         if not server:
             raise CommandRefused("Require 'backend/server'.")
@@ -647,7 +686,7 @@
         return name(server)
 
     def set_server(self, words: tuple[str, ...]) -> str:
-        server, now = self._name(words[2]), tenths(self._manager.clock)
+        server, now = self._server_name(words[2]), tenths(self._manager.clock)
         if words[3] == "state":
             if words[4] not in STATES:
                 raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
@@ -670,7 +709,7 @@
         return self.set_server(("set", "server", words[2], "state", "maint"))
 
     def add_server(self, words: tuple[str, ...]) -> str:
-        server, address = self._name(words[2]), str(inet(words[3]))
+        server, address = self._server_name(words[2]), str(inet(words[3]))
         options = dict(zip(words[4::2], words[5::2], strict=False))
         if (
             len(words) % 2
@@ -681,8 +720,8 @@
                 "usage: add server fleet/NAME ADDRESS:PORT region REGION [model MODEL] [weight SIZE] "
                 "[started TIME]"
             )
-        if options["region"] not in self._manager.plan.regions:
-            raise CommandRefused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
+        if options["region"] not in self._manager.config.regions:
+            raise CommandRefused(f"No such region. {', '.join(self._manager.config.regions)} are allowed.")
         age = options.get("started")
         now = tenths(self._manager.clock)
         known = self._roster.version
@@ -700,5 +739,5 @@
         return "New server registered.\n"
 
     def del_server(self, words: tuple[str, ...]) -> str:
-        self._manager.apply_list_change(self._roster.remove(self._name(words[2])))
+        self._manager.apply_list_change(self._roster.remove(self._server_name(words[2])))
         return "Server deleted.\n"
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -1,5 +1,4 @@
-"""One manager: its core, a driver for each gateway, probes, peers, and what its own runtime API asks of
-it."""
+"""One manager: its core, a driver for each gateway, probes, peers, and the operations of its runtime API."""
 
 from __future__ import annotations
 
@@ -29,31 +28,36 @@
 from rushladder.store.commands import Journal
 from rushladder.timing import TENTHS, Call, Clock, tenths
 
-PERIOD = 1.0  # s between two sums of reports: the module's bucket of time
-ERRORS_KEPT = 100  # lines of `show errors`: an hour of one fault every half minute
-SAME_AGAIN = 10.0  # s for which a fault that repeats is counted and not logged again
+PERIOD_SECONDS = (
+    1.0  # control period; traffic is summed over it, the width of the decision module's time buckets
+)
+MAX_ERRORS = 100  # errors in `show errors`: an hour of one every half minute
+REPEAT_INTERVAL_SECONDS = 10.0  # a repeated error is counted, and logged at most once in this time
 
 
 class Prober(Protocol):
-    """Asks a collector whether it is well."""
+    """Probes the health of a collector."""
 
     def probe(self, address: str) -> Deferred[ProbeResult]: ...
 
 
-class Kicked(Protocol):
-    """What stands for a gateway: is told when something is owed to it."""
+class GatewayOwner(Protocol):
+    """Delivers lines to a gateway. `kick` notifies it that there are lines to send."""
 
     def kick(self) -> None: ...
 
 
-class Words(Protocol):
-    """Sends the module's words to the other managers."""
+class PeerSender(Protocol):
+    """Sends the decision module's messages to the other managers."""
 
     def tell(self, data: bytes) -> None: ...
 
 
-class Reading(Protocol):
-    """A process that reads reports for this manager: is told when the reporters may have changed."""
+class ReportReceiver(Protocol):
+    """A process that receives load reports for this manager.
+
+    `listed` notifies it that the list of permitted senders may have changed.
+    """
 
     pid: int
     starts: int
@@ -64,44 +68,48 @@
 
 
 @attrs.define
-class Fault:
+class RecordedError:
+    """An error for `show errors`. at: when it was last logged; count: how often it occurred."""
+
     at: float
-    what: str
-    many: int = 1
+    message: str
+    count: int = 1
 
 
 class Manager:
-    """Everything of one manager but its sockets, which are handed in.
+    """A manager without its sockets, which are passed in.
 
-    connect: dials a gateway with the client it is given. The clock is the only one there is.
+    connect: connects the given client to a gateway; restored: the list of servers kept from an earlier run,
+    age: the seconds since it was written (both are taken from `memory` if there is one). `clock` does all
+    timing; `wall` only serves the DNS front, for zone serials and cookies.
     """
 
     def __init__(
         self,
-        plan: ManagerConfig,
+        config: ManagerConfig,
         clock: Clock,
         connect: Callable[[GatewayConfig, RuntimeClient], Deferred[Any]],
         prober: Prober | None,
         log: Log,
         restored: str = "",
-        away: float = 0.0,
+        age: float = 0.0,
         wall: Callable[[], float] = time.time,
         memory: Persistence | None = None,
     ) -> None:
-        self.plan, self.clock, self._log, self._prober = plan, clock, log, prober
-        self._random = Random(plan.identity.seed * 1000 + plan.identity.number)
-        self.started, self.beats, self.events = clock.seconds(), 0, 0
-        self.errors, self._told = deque[Fault](maxlen=ERRORS_KEPT), dict[str, Fault]()
+        self.config, self.clock, self._log, self._prober = config, clock, log, prober
+        self._random = Random(config.identity.seed * 1000 + config.identity.number)
+        self.started, self.periods, self.events = clock.seconds(), 0, 0
+        self.errors, self._last_errors = deque[RecordedError](maxlen=MAX_ERRORS), dict[str, RecordedError]()
         self.roster, self.memory = Roster(), memory
         self.journal = memory.journal if memory is not None else Journal()
-        self.replaced: Callable[[], None] = lambda: None
+        self.on_replaced: Callable[[], None] = lambda: None
         now = tenths(clock)
         if memory is not None:
-            restored, away = memory.list()
-        self.restored = bool(restored) and self.roster.load(restored, now, int(away * TENTHS))
+            restored, age = memory.restore_list()
+        self.restored = bool(restored) and self.roster.load(restored, now, int(age * TENTHS))
         if restored and not self.restored:
-            self.fault("the list kept from before is not whole, and was passed over")
-        for site in plan.collectors if not self.restored else ():
+            self.record_error("the stored list is not complete and was ignored")
+        for site in config.collectors if not self.restored else ():
             self.roster.add(
                 site.name,
                 site.region,
@@ -113,28 +121,28 @@
                 site.limit,
                 site.connections,
             )
-        for site in plan.collectors:
+        for site in config.collectors:
             if (listed := self.roster.listed.get(site.name)) is not None:
                 listed.limit, listed.connections = site.limit, site.connections
-        self.saved = self.roster.version
-        self.reports, self.words = Reports(), deque[Words](maxlen=1)
-        self.desk, self.lanes = Desk(now, blind=plan.trust_reports), list[Reading]()
-        self._reporters()
+        self.saved_version = self.roster.version
+        self.reports, self.peer_senders = Reports(), deque[PeerSender](maxlen=1)
+        self.desk, self.lanes = Desk(now, blind=config.trust_reports), list[ReportReceiver]()
+        self._register_reporters()
         self.core = Core(
-            plan.identity.seed * 1000 + plan.identity.number,
+            config.identity.seed * 1000 + config.identity.number,
             self.roster,
-            managers=1 + len(plan.peers),
-            zones=plan.regions,
-            products=plan.products,
-            channel=plan.channel,
-            guarantee=plan.guarantee,
-            level_unit=plan.level_unit,
-            may_probe=plan.may_probe and prober is not None,
+            managers=1 + len(config.peers),
+            zones=config.regions,
+            products=config.products,
+            channel=config.channel,
+            guarantee=config.guarantee,
+            level_unit=config.level_unit,
+            may_probe=config.may_probe and prober is not None,
             now=now,
-            guard=plan.guard,
-            gateways=[(site.name, site.region, site.usual_rate) for site in plan.gateways],
+            guard=config.guard,
+            gateways=[(site.name, site.region, site.usual_rate) for site in config.gateways],
         )
-        hold = plan.holding
+        hold = config.holding
         lease, settle = spans(hold.poll)
         self.drivers = [
             GatewayDriver(
@@ -144,34 +152,36 @@
                 self.core,
                 self.reports,
                 Holding(
-                    plan.identity.name,
-                    plan.identity.region,
-                    site.region if plan.peers else plan.identity.region,  # alone, it is at home everywhere
+                    config.identity.name,
+                    config.identity.region,
+                    site.region
+                    if config.peers
+                    else config.identity.region,  # a lone manager is at home everywhere
                     takeover=hold.takeover,
                     settle=settle,
                     lease=lease,
-                    highest=memory.epoch(site.name) if memory is not None else 0,
+                    highest=memory.restore_epoch(site.name) if memory is not None else 0,
                 ),
                 Times(hold.poll / TENTHS, hold.patience / TENTHS),
                 self._random.random,
                 log,
                 self.handle_events,
-                self.fault,
-                self.give_way,
+                self.record_error,
+                self.step_down,
             )
-            for site in plan.gateways
+            for site in config.gateways
         ]
-        self._by_gateway: dict[Gateway, Kicked] = {driver.gateway: driver for driver in self.drivers}
-        self.dns = self._dns(wall)
+        self._by_gateway: dict[Gateway, GatewayOwner] = {driver.gateway: driver for driver in self.drivers}
+        self.dns = self._build_dns_front(wall)
         if self.dns is not None:
             self._by_gateway |= {seat.gateway: seat for seat in self.dns.seats}
         if memory is not None:
             memory.restore_guard(self.core.warden, now)
             memory.restore_trust(self.desk)
-            products = {product.name: product for product in plan.products}
-            self.core.take(now, memory.recall(self.roster, products, now))
-        self._wake: Call | None = None
-        self._probing = dict[Server, None]()
+            products = {product.name: product for product in config.products}
+            self.core.take(now, memory.restore_learned(self.roster, products, now))
+        self._wake_call: Call | None = None
+        self._probes_in_flight = dict[Server, None]()
         self._stopped = False
 
     def start(self) -> None:
@@ -179,52 +189,52 @@
             driver.start()
         if self.dns is not None:
             self.dns.start()
-        self._period()
+        self._run_period()
         self.handle_events()
 
     def stop(self) -> None:
-        """Gateways go on with the tables that they hold."""
+        """Stops all activity. Gateways keep using the tables that they hold."""
         if self._stopped:
             return
         self._stopped = True
         for driver in self.drivers:
             driver.stop()
-        if self._wake is not None and self._wake.active():
-            self._wake.cancel()
+        if self._wake_call is not None and self._wake_call.active():
+            self._wake_call.cancel()
         self._log.info("manager.stopped", gateways=len(self.core.ports))
 
-    # Events in, orders out.
+    # Events for the decision module, and the orders that it gives.
 
     def handle_events(self, *events: Event) -> None:
-        """One batch for the module, and what it ordered."""
+        """Passes one batch of events to the decision module and carries out its orders."""
         if self._stopped:
             return
         self.events += len(events)
         self.core.take(tenths(self.clock), *events)
-        self._orders()
+        self._carry_out_orders()
 
-    def _orders(self) -> None:
+    def _carry_out_orders(self) -> None:
         probes, self.core.probes = self.core.probes, []
         for server in probes:
             self._probe(server)
         words, self.core.words = self.core.words, []
         for data in words:
-            for sender in self.words:
+            for sender in self.peer_senders:
                 sender.tell(data)
         for port in self.core.take_ready():
             self._by_gateway[port.gateway].kick()
         wake = self.core.next_wake()
         if wake is not None:
-            if self._wake is not None and self._wake.active():
-                self._wake.cancel()
-            self._wake = self.clock.callLater(
+            if self._wake_call is not None and self._wake_call.active():
+                self._wake_call.cancel()
+            self._wake_call = self.clock.callLater(
                 max(0.0, wake / TENTHS - self.clock.seconds()) + 1e-4, self.handle_events
             )
 
-    def _period(self) -> None:
+    def _run_period(self) -> None:
         if not self._stopped:
-            self.beats += 1
-            self.clock.callLater(PERIOD, self._period)
+            self.periods += 1
+            self.clock.callLater(PERIOD_SECONDS, self._run_period)
             self.core.tell_demand()
             effect = self.core.watch_wave(self.reports.take_met())
             if effect is not Effect.NONE and self.core.warden.wave is not None:
@@ -237,81 +247,81 @@
                     gateways=len(wave.changed),
                     sure=round(wave.watch.sureness(), 4),
                 )
-            self.handle_events(*self.reports.close(self._hints()), *self._came_by_name())
-            self._remember()
-            faults, self.core.warden.faults = self.core.warden.faults, []
-            for what in faults:
-                self.fault(what)
-
-    def _remember(self) -> None:
-        """What was learned, to the store. A fault there must not cost the module its beat."""
+            self.handle_events(*self.reports.close(self._load_hints()), *self._dns_events())
+            self._store_learned()
+            errors, self.core.warden.faults = self.core.warden.faults, []
+            for message in errors:
+                self.record_error(message)
+
+    def _store_learned(self) -> None:
+        """Writes the learned state to the store. An error there must not stop the control loop."""
         if self.memory is None:
             return
         try:
             learned, now = self.core.manager.learned(), tenths(self.clock)
-            self.memory.period(learned, self.roster, self.core.warden, self.desk, now)
+            self.memory.store_period(learned, self.roster, self.core.warden, self.desk, now)
             for driver in self.drivers:
                 if driver.holding.stand is Stand.HOLDING:
-                    self.memory.held(driver.gateway.name, driver.holding.epoch)
-        except Exception as trouble:
-            self.fault(f"what was learned could not be noted: {type(trouble).__name__}: {trouble}")
+                    self.memory.store_epoch(driver.gateway.name, driver.holding.epoch)
+        except Exception as error:
+            self.record_error(f"the learned state could not be stored: {type(error).__name__}: {error}")
 
-    def remember_changes(self) -> None:
-        """The list and the operators' factors, at once: an answer says that they stand."""
+    def store_changes(self) -> None:
+        """Stores the list and the operators' factors now, before a command that changed them is answered."""
         if self.memory is not None:
-            self.memory.listing(self.roster, tenths(self.clock))
-            self.memory.guard(self.core.warden)
+            self.memory.store_list(self.roster, tenths(self.clock))
+            self.memory.store_guard(self.core.warden)
 
-    def give_way(self) -> None:
-        """A later process of this manager's name steers: this one sends nothing more."""
+    def step_down(self) -> None:
+        """Stops sending, as a newer process with this manager's name has taken over its gateways."""
         if not self._stopped:
-            self.fault("replaced by a later process of the same name: this one gives way")
+            self.record_error("replaced by a later process of the same name: this one stops")
             self.stop()
-            self.replaced()
+            self.on_replaced()
 
-    def _dns(self, wall: Callable[[], float]) -> Front | None:
-        plan = self.plan
-        if plan.dns is None:
+    def _build_dns_front(self, wall: Callable[[], float]) -> Front | None:
+        config = self.config
+        if config.dns is None:
             return None
         return Front(
-            # Where managers share no secret, each knows its own cookies only.
-            attrs.evolve(plan.dns, secret=plan.dns.secret or secrets.token_bytes(16)),
-            plan.identity.name,
-            plan.identity.region,
-            plan.regions,
+            # Without a shared secret, each manager accepts only the DNS cookies that it issued itself.
+            attrs.evolve(config.dns, secret=config.dns.secret or secrets.token_bytes(16)),
+            config.identity.name,
+            config.identity.region,
+            config.regions,
             self.core,
             self.clock,
             wall,
             self._random.random,
             self.handle_events,
-            plan.guarantee.drain_grace,
-            plan.channel.longest_way,
+            config.guarantee.drain_grace,
+            config.channel.longest_way,
         )
 
-    def _came_by_name(self) -> list[Event]:
-        """What DNS clients brought. A fault there must not cost the module its beat."""
+    def _dns_events(self) -> list[Event]:
+        """Returns the traffic of DNS clients. An error there must not stop the control loop."""
         if self.dns is None:
             return []
         try:
             return self.dns.period(self.desk.rates(tenths(self.clock)))
-        except Exception as trouble:
-            self.fault(f"the DNS front's period failed: {type(trouble).__name__}: {trouble}")
+        except Exception as error:
+            self.record_error(f"the DNS front's period failed: {type(error).__name__}: {error}")
             return []
 
-    def _hints(self) -> dict[str, float]:
-        """What servers' own reports say, against what was measured; empty where none reports."""
+    def _load_hints(self) -> dict[str, float]:
+        """Weighs servers' load reports against measured latency. Empty if no server reports."""
         now = tenths(self.clock)
         if not self.desk.senders:
             return {}
-        seen = {name: listed.server.seen(now, 4) for name, listed in self.roster.listed.items()}
-        settled, time = (sum(sums[k] for sums in seen.values()) for k in (2, 3))
+        totals = {name: listed.server.seen(now, 4) for name, listed in self.roster.listed.items()}
+        settled, time = (sum(sums[k] for sums in totals.values()) for k in (2, 3))
         mean = time / settled if settled else 0.0
-        latency = {name: sums[3] / sums[2] / mean for name, sums in seen.items() if sums[2] >= 5 and mean}
+        latency = {name: sums[3] / sums[2] / mean for name, sums in totals.items() if sums[2] >= 5 and mean}
         return self.desk.period(latency, now)
 
-    def _reporters(self) -> None:
-        """Who may report, as the list and the configuration say."""
-        sites = {site.name: site for site in self.plan.collectors if site.reports_from or site.agent}
+    def _register_reporters(self) -> None:
+        """Updates the permitted senders of load reports from the list and the configuration."""
+        sites = {site.name: site for site in self.config.collectors if site.reports_from or site.agent}
         for name in [name for name in self.desk.senders if name not in self.roster.listed]:
             self.desk.forget(name)
         for name, site in sites.items():
@@ -322,56 +332,61 @@
 
     def _probe(self, server: Server) -> None:
         listed = self.roster.listed.get(server.name)
-        # One probe of a server at a time: a slower answer than a beat says enough when it comes.
-        if self._prober is None or listed is None or listed.server is not server or server in self._probing:
+        # One probe of a server at a time: an answer slower than a period still counts when it arrives.
+        if (
+            self._prober is None
+            or listed is None
+            or listed.server is not server
+            or server in self._probes_in_flight
+        ):
             return
-        self._probing[server] = None
-        asked = tenths(self.clock)
+        self._probes_in_flight[server] = None
+        sent_at = tenths(self.clock)
 
         def done(result: Any) -> None:
-            self._probing.pop(server, None)
-            found = result if isinstance(result, ProbeResult) else ProbeResult.ERROR
-            self.handle_events(Probed(server, found, tenths(self.clock) - asked))
+            self._probes_in_flight.pop(server, None)
+            probe_result = result if isinstance(result, ProbeResult) else ProbeResult.ERROR
+            self.handle_events(Probed(server, probe_result, tenths(self.clock) - sent_at))
 
         self._prober.probe(listed.address).addBoth(done)
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def receive_peer_message(self, peer: int, data: bytes) -> None:
         self.handle_events(PeerWord(peer, data))
 
     def apply_list_change(self, event: Listing[Server] | None) -> None:
-        """A change of the list that the runtime API made."""
+        """Logs, applies and stores a change of the list that the runtime API or an agent check made."""
         if event is not None:
             self._log.info(
                 "list.changed",
                 version=event.version,
                 servers=[f"{entry.worker.name}={entry.availability.name}" for entry in event.entries][:20],
             )
-            self._reporters()
+            self._register_reporters()
             if self.dns is not None:
                 self.dns.listing()
             self.handle_events(event)
             if self.memory is not None:
-                self.memory.listing(self.roster, tenths(self.clock))
+                self.memory.store_list(self.roster, tenths(self.clock))
 
-    def told(self, event: str, **more: Any) -> None:
-        """Logs what an operator's command did."""
+    def log_event(self, event: str, **more: Any) -> None:
+        """Logs the effect of an operator's command."""
         self._log.info(event, **more)
 
-    # Faults.
+    # Errors.
 
-    def fault(self, what: str) -> None:
-        """Notes a fault for `show errors`; one that repeats is counted, and logged again after a while."""
+    def record_error(self, message: str) -> None:
+        """Records an error for `show errors`. A repeated one is counted, and logged again after a while."""
         now = self.clock.seconds()
-        known = self._told.get(what)
-        if known is not None and now - known.at < SAME_AGAIN:
-            known.many += 1
+        earlier = self._last_errors.get(message)
+        if earlier is not None and now - earlier.at < REPEAT_INTERVAL_SECONDS:
+            earlier.count += 1
             return
-        fault = Fault(now, what)
-        if known is not None:
-            self.errors.remove(known) if known in self.errors else None
-            fault.many += known.many
-        self.errors.append(fault)
-        self._told[what] = fault
-        while len(self._told) > ERRORS_KEPT:
-            del self._told[next(iter(self._told))]
-        self._log.warning("fault", cause=what, many=fault.many)
+        error = RecordedError(now, message)
+        if earlier is not None:
+            self.errors.remove(earlier) if earlier in self.errors else None
+            error.count += earlier.count
+        self.errors.append(error)
+        self._last_errors[message] = error
+        while len(self._last_errors) > MAX_ERRORS:
+            del self._last_errors[next(iter(self._last_errors))]
+        self._log.warning("fault", cause=message, many=error.count)
--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -1,6 +1,6 @@
-"""Between one manager and its store: hands back what was learned before a restart, and notes what changes.
+"""Connects a manager to its store: restores state after a restart, and records changes.
 
-What is worth keeping and how much it still counts is decided in `store.memory` and `store.commands`.
+`store.memory` and `store.commands` decide what is worth storing and how much a record still counts.
 """
 
 from __future__ import annotations
@@ -42,58 +42,63 @@
 from rushladder.store.writer import Writer
 from rushladder.timing import Clock
 
-PER_MS = 10  # tenths of a millisecond
-DEMAND_EVERY = 5  # periods between two records of demand: it is worth half after ten minutes
+PER_MS = 10  # tenths of a millisecond in a millisecond
+DEMAND_RECORD_PERIODS = 5  # periods between two records of demand, whose weight halves in ten minutes
 
 
 class Persistence:
-    """One manager's memory. wall: seconds; the clock is the manager's own."""
+    """The stored state of one manager. clock: the manager's own; wall: the wall clock, in seconds."""
 
     def __init__(self, log: Log, writer: Writer, clock: Clock, wall: Callable[[], float]) -> None:
         self.log, self.writer, self._clock, self._wall = log, writer, clock, wall
         self.opened = log.opened
-        self._kept = dict(log.state)
-        self.notebook = Notebook(self._kept)
+        self._records = dict(log.state)
+        self.notebook = Notebook(self._records)
         now = self.now()
-        commands = [(name, memory) for name, memory in self._all(Kind.COMMAND, CommandMemory)]
+        commands = [(name, memory) for name, memory in self._records_of(Kind.COMMAND, CommandMemory)]
         self.journal = Journal(commands, now)
-        self._versions, self._refused = dict[int, tuple[str, bool, bool]](), 0
-        self._epochs, self._trusts = dict[str, int](), dict[str, tuple[float, ...]]()
-        self._listed, self._periods = -1, 0
-        self._starts = dict[str, int]()
-        self.recalled, self.signs = 0, dict.fromkeys(Sign, 0)
+        self._stored_versions, self._stored_refusals = dict[int, tuple[str, bool, bool]](), 0
+        self._stored_epochs, self._stored_trust = dict[str, int](), dict[str, tuple[float, ...]]()
+        self._stored_list_version, self._period_count = -1, 0
+        self._server_starts = dict[str, int]()
+        self.recalled, self.record_counts = 0, dict.fromkeys(Sign, 0)
 
     def now(self) -> int:
-        """Milliseconds of the wall clock."""
+        """The wall-clock time in milliseconds."""
         return int(SECOND * self._wall())
 
-    def _all(self, kind: Kind, message: Any) -> list[tuple[str, Any]]:
-        found = [(key, read(message, payload)) for (k, key), payload in self._kept.items() if k == kind]
+    def _records_of(self, kind: Kind, message: Any) -> list[tuple[str, Any]]:
+        found = [(key, read(message, payload)) for (k, key), payload in self._records.items() if k == kind]
         return [(key, memory) for key, memory in found if memory is not None]
 
-    # Back from the store.
+    # Restoring from the store.
 
-    def list(self) -> tuple[str, float]:
-        """The list as it stood, and seconds since then; empty where none is kept, or it is from the
-        future."""
-        for _, memory in self._all(Kind.LIST, ListMemory):
-            away = (self.now() - memory.at) / SECOND
-            return (memory.text, max(0.0, away)) if away > -5.0 else ("", 0.0)
+    def restore_list(self) -> tuple[str, float]:
+        """Returns the stored list and its age in seconds.
+
+        The list is empty if none is stored, or if its time lies more than 5 s in the future.
+        """
+        for _, memory in self._records_of(Kind.LIST, ListMemory):
+            age = (self.now() - memory.at) / SECOND
+            return (memory.text, max(0.0, age)) if age > -5.0 else ("", 0.0)
         return "", 0.0
 
-    def epoch(self, gateway: str) -> int:
-        """The least that the gateway's epochs were, and a leap for those that were lost with a tail."""
-        payload = self._kept.get((Kind.GATEWAY, gateway))
+    def restore_epoch(self, gateway: str) -> int:
+        """Returns a lower bound for a gateway's epochs: the stored one plus a margin.
+
+        The margin covers later epochs whose records were lost with a torn end of the log.
+        """
+        payload = self._records.get((Kind.GATEWAY, gateway))
         memory = read(GatewayMemory, payload) if payload is not None else None
         return memory.epoch + LEAP if memory is not None else 0
 
-    def recall(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
-        """For the module. now: the manager's clock in tenths of a millisecond."""
+    def restore_learned(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
+        """Returns the learned state for the decision module. now: the manager's clock, in tenths of a ms."""
         wall = self.now()
-        standings = self._standings(roster, now)
-        self.signs = self.notebook.signs(standings, wall)
+        listed_servers = self._listed_servers(roster, now)
+        self.record_counts = self.notebook.signs(listed_servers, wall)
         workers = list[Learned[Any]]()
-        for known in self.notebook.recall(standings, wall):
+        for known in self.notebook.recall(listed_servers, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
             workers.append(
                 Learned(
@@ -107,7 +112,7 @@
             )
         self.recalled = len(workers)
         demand = None
-        for _, memory in self._all(Kind.DEMAND, DemandMemory):
+        for _, memory in self._records_of(Kind.DEMAND, DemandMemory):
             demand = recalled_demand(memory, products, wall)
         if demand is None:
             return Remembered(workers, 0.0)
@@ -115,10 +120,13 @@
         return Remembered(workers, PER_MS * demand.quiet, mix)
 
     def restore_guard(self, warden: Warden, now: int) -> None:
-        """Versions of the operators' factors, what was refused, and a wave under way taken back."""
+        """Restores the versions of the operators' factors and the refused changes.
+
+        A wave that was under way is taken back.
+        """
         wall = self.now()
         versions, stands = list[Version](), 0
-        for _, memory in self._all(Kind.VERSION, VersionMemory):
+        for _, memory in self._records_of(Kind.VERSION, VersionMemory):
             at = now - PER_MS * max(0, wall - memory.at)
             factors = {(one.product, one.server): one.factor for one in memory.factors}
             state = "taken back: the manager was started anew" if memory.waving else memory.state
@@ -127,58 +135,65 @@
                 stands = memory.parent if memory.waving else memory.number
         refused = [
             Refused(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
-            for _, memory in sorted(self._all(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at)
+            for _, memory in sorted(
+                self._records_of(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at
+            )
         ]
         warden.history.restore(versions, stands, refused)
-        self._refused = warden.history.refusals
+        self._stored_refusals = warden.history.refusals
 
     def restore_trust(self, desk: Desk) -> None:
+        """Restores how far each server's load reports are trusted."""
         wall = self.now()
-        for name, memory in self._all(Kind.TRUST, TrustMemory):
+        for name, memory in self._records_of(Kind.TRUST, TrustMemory):
             found = recalled_trust(memory, desk.hints.doubt, wall)
             if found is not None and name in desk.senders:
                 desk.hints.restore(name, *found)
 
-    # Into the store.
+    # Writing to the store.
 
-    def held(self, gateway: str, epoch: int) -> None:
-        if self._epochs.get(gateway) != epoch:
-            self._epochs[gateway] = epoch
+    def store_epoch(self, gateway: str, epoch: int) -> None:
+        """Records the epoch under which this manager holds a gateway."""
+        if self._stored_epochs.get(gateway) != epoch:
+            self._stored_epochs[gateway] = epoch
             self._put(Kind.GATEWAY, gateway, GatewayMemory(at=self.now(), epoch=epoch))
 
-    def listing(self, roster: Roster, now: int) -> None:
-        if roster.version != self._listed:
-            self._listed = roster.version
+    def store_list(self, roster: Roster, now: int) -> None:
+        """Records the list if it has changed, and the cold starts of servers that were started again."""
+        if roster.version != self._stored_list_version:
+            self._stored_list_version = roster.version
             for name, one in roster.listed.items():
-                before = self._starts.get(name, one.started_at)
-                self._starts[name] = one.started_at
+                before = self._server_starts.get(name, one.started_at)
+                self._server_starts[name] = one.started_at
                 if one.started_at != before and (payload := self.notebook.started(name, self.now())):
                     self.writer.put(Kind.SERVER, name, payload)
-            for name in self._starts.keys() - roster.listed.keys():
-                del self._starts[name]
+            for name in self._server_starts.keys() - roster.listed.keys():
+                del self._server_starts[name]
             self._put(Kind.LIST, "list", ListMemory(at=self.now(), text=roster.dump(now)))
 
-    def guard(self, warden: Warden) -> None:
+    def store_guard(self, warden: Warden) -> None:
         history, wave = warden.history, warden.wave
-        waving = wave.number if wave is not None and not wave.over else -1
+        wave_number = wave.number if wave is not None and not wave.over else -1
         seen = dict[int, tuple[str, bool, bool]]()
         for version in history.all():
             if not version.number:
                 continue
             stands = version.number == history.current
-            state = seen[version.number] = (version.state, stands, version.number == waving)
-            if self._versions.get(version.number) != state:
-                self._put(Kind.VERSION, str(version.number), _version(version, self.now(), *state[1:]))
-        for number in self._versions.keys() - seen.keys():
+            state = seen[version.number] = (version.state, stands, version.number == wave_number)
+            if self._stored_versions.get(version.number) != state:
+                self._put(Kind.VERSION, str(version.number), _version_record(version, self.now(), *state[1:]))
+        for number in self._stored_versions.keys() - seen.keys():
             self.writer.put(Kind.VERSION, str(number), None)
-        self._versions = seen
-        for refused in history.refused_since(self._refused):
-            self._refused += 1
+        self._stored_versions = seen
+        for refused in history.refused_since(self._stored_refusals):
+            self._stored_refusals += 1
             memory = RefusedMemory(at=self.now(), who=refused.who, what=refused.what)
-            self._put(Kind.REFUSED, str(self._refused % 200), memory)
+            self._put(Kind.REFUSED, str(self._stored_refusals % 200), memory)
 
-    def period(self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int) -> None:
-        """Once a period: what has moved enough to be worth a record."""
+    def store_period(
+        self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int
+    ) -> None:
+        """Once per control period: records what has changed enough since its last record."""
         wall = self.now()
         servers = [
             Known(
@@ -197,39 +212,40 @@
             self.writer.put(Kind.SERVER, name, payload)
         for name in self.notebook.forget(set(self.notebook.known()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
-        self._periods += 1
-        if self._periods % DEMAND_EVERY == 0 and learned.quiet:
+        self._period_count += 1
+        if self._period_count % DEMAND_RECORD_PERIODS == 0 and learned.quiet:
             mix = {product.name: part for product, part in learned.mix.items()}
             self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.quiet / PER_MS, mix=mix))
-            self._trust(desk, wall)
-        self.guard(warden)
-        self.listing(roster, now)
+            self._store_trust(desk, wall)
+        self.store_guard(warden)
+        self.store_list(roster, now)
         for name in self.journal.fade(wall):
             self.writer.put(Kind.COMMAND, name, None)
 
-    def _trust(self, desk: Desk, wall: int) -> None:
+    def _store_trust(self, desk: Desk, wall: int) -> None:
         found = desk.hints.trusts()
-        for name, figures in found.items():
-            before = self._trusts.get(name)
-            if before is None or max(abs(a - b) for a, b in zip(before, figures, strict=True)) > 0.02:
-                self._trusts[name] = figures
-                both, told, met, cried = figures
+        for name, sums in found.items():
+            before = self._stored_trust.get(name)
+            if before is None or max(abs(a - b) for a, b in zip(before, sums, strict=True)) > 0.02:
+                self._stored_trust[name] = sums
+                both, told, met, cried = sums
                 self._put(Kind.TRUST, name, TrustMemory(at=wall, both=both, told=told, met=met, cried=cried))
-        for name in self._trusts.keys() - found.keys():
-            del self._trusts[name]
+        for name in self._stored_trust.keys() - found.keys():
+            del self._stored_trust[name]
             self.writer.put(Kind.TRUST, name, None)
 
-    def noted(self, name: str) -> None:
-        """A command as it stands in the journal now."""
+    def record_command(self, name: str) -> None:
+        """Records a command in its current state in the journal."""
         self.writer.put(Kind.COMMAND, name, self.journal[name].payload())
 
-    def sure(self) -> Deferred[None]:
+    def flush(self) -> Deferred[None]:
+        """Fires once everything recorded so far is on disk."""
         return self.writer.sure()
 
     def _put(self, kind: Kind, key: str, message: Any) -> None:
         self.writer.put(kind, key, message.SerializeToString())
 
-    def _standings(self, roster: Roster, now: int) -> dict[str, Standing]:
+    def _listed_servers(self, roster: Roster, now: int) -> dict[str, Standing]:
         wall = self.now()
         return {
             name: Standing(
@@ -241,7 +257,7 @@
         }
 
 
-def _version(version: Version, at: int, stands: bool, waving: bool) -> VersionMemory:
+def _version_record(version: Version, at: int, stands: bool, in_wave: bool) -> VersionMemory:
     return VersionMemory(
         at=at,
         number=version.number,
@@ -254,5 +270,5 @@
             for (product, server), factor in version.factors.items()
         ],
         stands=stands,
-        waving=waving,
+        waving=in_wave,
     )
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -1,4 +1,4 @@
-"""A manager as a process: sockets, signals, the log, and the list kept over a restart."""
+"""Runs a manager as a process: its sockets, signals, log, and the list kept over a restart."""
 
 from __future__ import annotations
 
@@ -33,22 +33,24 @@
 from rushladder.timing import tenths
 
 reactor: Any = _reactor
-SAVE_EVERY = 0.2  # s between two looks at whether the list has changed: many changes become one write
-AGENT_EVERY = 2.0  # s between two agent checks of a server: its answer counts as fresh for five
+SAVE_INTERVAL_SECONDS = 0.2  # between two checks whether the list has changed: many changes become one write
+AGENT_CHECK_INTERVAL_SECONDS = 2.0  # between two checks of a server; its answer counts as fresh for 5 s
 AGENT_STATES = {"ready": Availability.READY, "drain": Availability.DRAINING, "maint": Availability.GONE}
-UDP_READ_BUDGET = 16 * 1024  # bytes of datagrams read before others have their turn: 1 to 2 ms of questions
-DNS_MOST = 4096  # bytes of a question: eight times what one with every option takes
+UDP_READ_BUDGET = 16 * 1024  # bytes of datagrams read per turn of the reactor: 1 to 2 ms of queries
+MAX_DNS_QUERY_BYTES = 4096  # eight times the size of a query with all options
 HEALTH_PATH = "/health"  # of a collector
-DIAL_MOST = 1.0  # s for a connection to a gateway's socket
+DIAL_TIMEOUT_SECONDS = 1.0  # for a connection to a gateway's socket
 
 
 def client_endpoint(address: Address) -> Any:
+    """The Twisted endpoint that connects to an address."""
     if address.path:
-        return endpoints.UNIXClientEndpoint(reactor, address.path, timeout=DIAL_MOST)
-    return endpoints.TCP4ClientEndpoint(reactor, address.host, address.port, timeout=DIAL_MOST)
+        return endpoints.UNIXClientEndpoint(reactor, address.path, timeout=DIAL_TIMEOUT_SECONDS)
+    return endpoints.TCP4ClientEndpoint(reactor, address.host, address.port, timeout=DIAL_TIMEOUT_SECONDS)
 
 
 def server_endpoint(address: Address) -> Any:
+    """The Twisted endpoint that listens on an address."""
     if address.path:
         return endpoints.UNIXServerEndpoint(reactor, address.path, mode=0o600)
     if ":" in address.host:
@@ -57,136 +59,144 @@
 
 
 def clear_path(address: Address) -> None:
-    """A socket that a killed manager left behind is in the way of the next one."""
+    """Removes the UNIX socket that a killed manager left behind, as it would prevent binding."""
     if address.path and Path(address.path).is_socket():
         Path(address.path).unlink()
 
 
 def dial(site: GatewayConfig, client: RuntimeClient) -> Deferred[Any]:
-    dialled: Deferred[Any] = endpoints.connectProtocol(client_endpoint(site.address), client)
-    return dialled
+    """Connects a client to a gateway's runtime socket."""
+    connected: Deferred[Any] = endpoints.connectProtocol(client_endpoint(site.address), client)
+    return connected
 
 
 class ListFile:
-    """The list as it survives a restart: replaced whole, so that no reader meets half of it."""
+    """The file that keeps the list over a restart. It is replaced atomically, never written in place."""
 
     def __init__(self, path: str) -> None:
         self._path = Path(path)
 
     def read(self) -> tuple[str, float]:
-        """Its text, and the seconds since it was written; an empty text if there is none."""
+        """Returns the text and the seconds since it was written; an empty text if it can't be read."""
         try:
             return self._path.read_text(), max(0.0, time.time() - self._path.stat().st_mtime)
         except (OSError, UnicodeDecodeError):
             return "", 0.0
 
     def write(self, text: str) -> None:
-        """Raises OSError if it could not be written; what stood there before is still whole then."""
-        other = self._path.with_suffix(self._path.suffix + ".new")
-        with open(other, "w") as file:
+        """Writes the text. Raises OSError on failure, which leaves the old content intact."""
+        temporary = self._path.with_suffix(self._path.suffix + ".new")
+        with open(temporary, "w") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(other, self._path)
+        os.replace(temporary, self._path)
 
 
-def remember(plan: ManagerConfig) -> tuple[Persistence | None, str]:
-    """The memory that a plan names, opened; without one, why. A manager steers without it too."""
-    if not plan.memory:
+def open_persistence(config: ManagerConfig) -> tuple[Persistence | None, str]:
+    """Opens the store that a configuration names. Returns it, or None and the reason why it can't be opened.
+
+    A manager also works without a store.
+    """
+    if not config.memory:
         return None, ""
     try:
-        disk = Disk(plan.memory)
-        fleet = fleet_of(plan.regions, [product.name for product in plan.products])
-        log = Log(disk, fleet, plan.identity.name, MINORS, wall=lambda: int(1000 * time.time()))
+        disk = Disk(config.memory)
+        fleet = fleet_of(config.regions, [product.name for product in config.products])
+        log = Log(disk, fleet, config.identity.name, MINORS, wall=lambda: int(1000 * time.time()))
         log.open()
-    except (OSError, Locked, Refused) as trouble:
-        return None, str(trouble)
-    writer = Writer(log, reactor, threads.deferToThread, lambda why: None)
+    except (OSError, Locked, Refused) as error:
+        return None, str(error)
+    writer = Writer(log, reactor, threads.deferToThread, lambda reason: None)
     return Persistence(log, writer, reactor, time.time), ""
 
 
 class Service:
     """A manager and its sockets."""
 
-    def __init__(self, plan: ManagerConfig, log: Any) -> None:
-        self._plan, self._log = plan, log
-        self._file = ListFile(plan.list_file) if plan.list_file else None
-        restored, away = self._file.read() if self._file else ("", 0.0)
-        memory, why = remember(plan)
+    def __init__(self, config: ManagerConfig, log: Any) -> None:
+        self._config, self._log = config, log
+        self._list_file = ListFile(config.list_file) if config.list_file else None
+        restored, age = self._list_file.read() if self._list_file else ("", 0.0)
+        memory, reason = open_persistence(config)
         self.manager = Manager(
-            plan,
+            config,
             reactor,
             dial,
-            HealthProber(reactor, HEALTH_PATH, CONNECT_MOST) if plan.may_probe else None,
+            HealthProber(reactor, HEALTH_PATH, CONNECT_MOST) if config.may_probe else None,
             log,
             restored,
-            away,
+            age,
             memory=memory,
         )
         if memory is not None:
-            memory.writer.on_fault = self.manager.fault
+            memory.writer.on_fault = self.manager.record_error
             for damage in memory.opened.damage:
-                self.manager.fault(f"set aside in {plan.memory}: {damage}")
-        elif why:
-            self.manager.fault(f"nothing is remembered: {why}")
-        self.manager.replaced = reactor.stop
+                self.manager.record_error(f"set aside in {config.memory}: {damage}")
+        elif reason:
+            self.manager.record_error(f"the store can't be used, nothing is remembered: {reason}")
+        self.manager.on_replaced = reactor.stop
 
     async def start(self) -> None:
-        """Binds every socket, then starts. Raises OSError or Twisted's CannotListenError if one can't be
-        bound."""
+        """Binds all sockets, then starts the manager.
+
+        Raises OSError or Twisted's CannotListenError if a socket can't be bound.
+        """
         table = command_table(self.manager)
-        for listener in self._plan.listeners:
+        for listener in self._config.listeners:
             clear_path(listener.address)
-            factory = RuntimeFactory(table, listener.level, reactor, on_error=self.manager.fault)
+            factory = RuntimeFactory(table, listener.level, reactor, on_error=self.manager.record_error)
             await server_endpoint(listener.address).listen(factory)
-        if self._plan.peer_listener is not None:
+        if self._config.peer_listener is not None:
             link = PeerLink(
-                self._plan.identity.name,
+                self._config.identity.name,
                 int(time.time() * 1000),
-                {peer.name: peer for peer in self._plan.peers},
+                {peer.name: peer for peer in self._config.peers},
                 reactor,
-                self.manager.heard,
-                self.manager.fault,
+                self.manager.receive_peer_message,
+                self.manager.record_error,
+            )
+            reactor.listenUDP(
+                self._config.peer_listener.port, link, interface=self._config.peer_listener.host
             )
-            reactor.listenUDP(self._plan.peer_listener.port, link, interface=self._plan.peer_listener.host)
-            self.manager.words.append(link)
-        if self._plan.dns is not None and self.manager.dns is not None:
-            where, front = self._plan.dns.address, self.manager.dns
+            self.manager.peer_senders.append(link)
+        if self._config.dns is not None and self.manager.dns is not None:
+            address, front = self._config.dns.address, self.manager.dns
             port = reactor.listenUDP(
-                where.port, DnsDatagrams(front), interface=where.host, maxPacketSize=DNS_MOST
+                address.port, DnsDatagrams(front), interface=address.host, maxPacketSize=MAX_DNS_QUERY_BYTES
             )
             port.maxThroughput = UDP_READ_BUDGET
-            await server_endpoint(where).listen(DnsStreams(front, reactor))
-        for kind, where in self._plan.report_listeners:
+            await server_endpoint(address).listen(DnsStreams(front, reactor))
+        for kind, address in self._config.report_listeners:
             if kind == "udp":
-                keeper = Keeper(self.manager.desk, open_door(where), self.manager.fault)
-                keeper.start()
-                self.manager.lanes.append(keeper)
+                receiver = Keeper(self.manager.desk, open_door(address), self.manager.record_error)
+                receiver.start()
+                self.manager.lanes.append(receiver)
             else:
-                await server_endpoint(where).listen(Streams(self.manager.desk, reactor))
-        for site in self._plan.collectors:
+                await server_endpoint(address).listen(Streams(self.manager.desk, reactor))
+        for site in self._config.collectors:
             if site.agent is not None:
-                self._ask(site.name, site.agent)
+                self._check_agent(site.name, site.agent)
         reactor.addSystemEventTrigger("before", "shutdown", self.stop)
         self.manager.start()
-        self._save()
+        self._save_list()
         self._log.info(
             "manager.started",
-            region=self._plan.identity.region,
-            gateways=len(self._plan.gateways),
+            region=self._config.identity.region,
+            gateways=len(self._config.gateways),
             servers=len(self.manager.roster.listed),
             restored=self.manager.restored,
             recalled=self.manager.memory.recalled if self.manager.memory is not None else 0,
         )
 
-    def _ask(self, name: str, where: Address) -> None:
-        """One agent check, and the next after a while, whatever became of it."""
-        reactor.callLater(AGENT_EVERY, self._ask, name, where)
+    def _check_agent(self, name: str, address: Address) -> None:
+        """Runs an agent check and schedules the next one, whatever the outcome."""
+        reactor.callLater(AGENT_CHECK_INTERVAL_SECONDS, self._check_agent, name, address)
         if name not in self.manager.roster.listed:
             return
         check = AgentCheck()
 
-        def said(answer: Agent) -> None:
+        def on_answer(answer: Agent) -> None:
             self.manager.desk.asked(name, answer, tenths(reactor))
             state = AGENT_STATES.get(answer.admin or "")
             if state is not None and name in self.manager.roster.listed:
@@ -194,47 +204,48 @@
                     self.manager.roster.change(name, tenths(reactor), availability=state)
                 )
 
-        def unsaid(failure: Any) -> None:
-            self.manager.fault(f"agent check of {name}: {failure.value}")
+        def on_failure(failure: Any) -> None:
+            self.manager.record_error(f"agent check of {name}: {failure.value}")
 
-        asked: Deferred[Any] = endpoints.connectProtocol(client_endpoint(where), check)
-        asked.addCallback(lambda _: check.answer.addTimeout(DIAL_MOST, reactor))
-        asked.addCallbacks(said, unsaid)
+        asked: Deferred[Any] = endpoints.connectProtocol(client_endpoint(address), check)
+        asked.addCallback(lambda _: check.answer.addTimeout(DIAL_TIMEOUT_SECONDS, reactor))
+        asked.addCallbacks(on_answer, on_failure)
 
     def stop(self) -> Deferred[None] | None:
-        for lane in self.manager.lanes:
-            lane.stop()
+        """Stops the manager. Returns a Deferred that fires once the store has written everything."""
+        for receiver in self.manager.lanes:
+            receiver.stop()
         self.manager.stop()
         memory = self.manager.memory
         if memory is None:
             return None
-        self.manager.remember_changes()
+        self.manager.store_changes()
         return memory.writer.stop()
 
-    def _save(self) -> None:
+    def _save_list(self) -> None:
         roster = self.manager.roster
-        if self._file is not None and (roster.version != self.manager.saved):
+        if self._list_file is not None and (roster.version != self.manager.saved_version):
             try:
-                self._file.write(roster.dump(tenths(reactor)))
-                self.manager.saved = roster.version
-            except OSError as trouble:
-                self.manager.fault(f"the list could not be kept: {trouble}")
-        reactor.callLater(SAVE_EVERY, self._save)
+                self._list_file.write(roster.dump(tenths(reactor)))
+                self.manager.saved_version = roster.version
+            except OSError as error:
+                self.manager.record_error(f"the list could not be saved: {error}")
+        reactor.callLater(SAVE_INTERVAL_SECONDS, self._save_list)
 
 
-def run(plan: ManagerConfig) -> int:
-    """Runs a manager until it is told to stop; 0, or 1 if a socket can't be bound."""
-    log, failed = make_log(plan.log, manager=plan.identity.name), list[str]()
+def run(config: ManagerConfig) -> int:
+    """Runs a manager until it is stopped. Returns the exit status: 1 if a socket can't be bound, else 0."""
+    log, errors = make_log(config.log, manager=config.identity.name), list[str]()
 
-    def trouble(failure: Any) -> None:
-        failed.append(f"{failure.value}")
+    def on_start_failure(failure: Any) -> None:
+        errors.append(f"{failure.value}")
         reactor.stop()
 
-    def begin() -> None:
-        Deferred.fromCoroutine(Service(plan, log).start()).addErrback(trouble)
+    def start_service() -> None:
+        Deferred.fromCoroutine(Service(config, log).start()).addErrback(on_start_failure)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start_service)
     reactor.run()
-    if failed:
-        log.error("manager.failed", cause=failed[0])
-    return 1 if failed else 0
+    if errors:
+        log.error("manager.failed", cause=errors[0])
+    return 1 if errors else 0
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -171,7 +171,7 @@
             self.logs[name],
             memory=remembering,
         )
-        writer.on_fault = manager.fault
+        writer.on_fault = manager.record_error
         self.managers[name] = manager
         manager.start()
         return manager
@@ -290,11 +290,11 @@
         world.run(8, 5)
         old = world.managers["m0"]
         stopped = list[bool]()
-        old.replaced = lambda: stopped.append(True)
+        old.on_replaced = lambda: stopped.append(True)
         new = world.start_manager("m0")
         world.run(12, 5)
         self.assertEqual(stopped, [True])
-        self.assertIn("replaced by a later process", old.errors[-1].what)
+        self.assertIn("replaced by a later process", old.errors[-1].message)
         self.assertEqual(len(new.core.ports), 2)
         self.assertFalse(old.core.ports)
 
