--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 from random import Random
 
-from rushladder.structures.choice import Alias, Fenwick, Linear, Stride
+from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 
 MANY = 20_000
 
 
 def stride(weights: dict[int, float]) -> tuple[Callable[[float], object], Callable[[int, float], None]]:
-    turns = Stride[int]()
+    turns = StrideScheduler[int]()
     for key, weight in weights.items():
         turns.set(key, weight)
 
     def choose(chance: float) -> int:
-        key = turns.least(1, lambda _: True, 0)[0]
-        turns.take(key, 1.0 + chance)
+        key = turns.next_fitting(1, lambda _: True, 0)[0]
+        turns.charge(key, 1.0 + chance)
         return key
 
     return choose, turns.set
@@ -39,7 +39,7 @@
 
 
 def drawn(
-    kind: type[Linear[int]] | type[Alias[int]] | type[Fenwick[int]],
+    kind: type[LinearChoice[int]] | type[AliasTable[int]] | type[FenwickTree[int]],
 ) -> Callable[[dict[int, float]], tuple[Callable[[float], object], Callable[[int, float], None]]]:
     def build(weights: dict[int, float]) -> tuple[Callable[[float], object], Callable[[int, float], None]]:
         made = kind(weights)
@@ -49,9 +49,9 @@
 
 
 WAYS = {
-    "draw, walk": drawn(Linear),
-    "draw, alias": drawn(Alias),
-    "draw, Fenwick": drawn(Fenwick),
+    "draw, walk": drawn(LinearChoice),
+    "draw, alias": drawn(AliasTable),
+    "draw, Fenwick": drawn(FenwickTree),
     "in turn, walk": turns_linear,
     "in turn, stride": stride,
 }
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -23,7 +23,7 @@
 import sys
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
-log = Log(Disk(sys.argv[1]), "fleet", "m1", {1: 0}, segment=20_000, least=40_000)
+log = Log(Disk(sys.argv[1]), "fleet", "m1", {1: 0}, segment_bytes=20_000, min_snapshot_bytes=40_000)
 log.open()
 turn = int(log.state.get((1, "turn"), b"0"))
 while True:
@@ -33,7 +33,7 @@
     log.put(1, "turn", b"%d" % turn)
     log.commit()
     print(turn, flush=True)
-    if log.due:
+    if log.snapshot_due:
         log.snapshot()
 """
 
--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -28,8 +28,8 @@
 from rushladder.interface import Availability
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
-from rushladder.structures.choice import Linear
-from rushladder.timing import tenths
+from rushladder.structures.weighted_choice import LinearChoice
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 GATEWAYS, SERVERS, ASKERS = 161, 99, 200
@@ -86,7 +86,7 @@
 
     def choose(asked: Asked, weighed: bool) -> Chosen | None:
         pool = front.pools[asked.product, asked.region]
-        chances = Linear({name: target.weight for name, target in pool.targets.items()})
+        chances = LinearChoice({name: target.weight for name, target in pool.targets.items()})
         names = dict.fromkeys(chances.draw(draw()) for _ in range(2))
         return Chosen([pool.targets[name] for name in names], 2)
 
@@ -126,7 +126,7 @@
 
     def mark() -> None:
         marks.append(time.process_time())
-        held.append(sum(driver.port is not None for driver in manager.drivers))
+        held.append(sum(driver.session is not None for driver in manager.drivers))
 
     def ask() -> None:
         mark()
@@ -138,7 +138,7 @@
         """A plan's change, timed by itself: one server goes or comes, and both seats are planned anew."""
         for turn in range(40):
             state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
-            manager.roster.change("c5", tenths(reactor), availability=state)
+            manager.roster.change("c5", clock_tenths(reactor), availability=state)
             began = time.process_time_ns()
             front.listing()
             replans.append((time.process_time_ns() - began) / 1e6)
--- a/benchmarks/estimate.py
+++ b/benchmarks/estimate.py
@@ -12,8 +12,8 @@
 import click
 import matplotlib
 
-from rushladder.intake.limits import Limits, Taken
-from rushladder.intake.readings import Order, Reading
+from rushladder.intake.limits import ReportLimits, RateVerdict
+from rushladder.intake.readings import ReadingOutcome, Reading
 
 matplotlib.use("Agg")
 from matplotlib import pyplot
@@ -23,16 +23,16 @@
 
 def errors(own: float) -> tuple[float, float]:
     """Root mean square error of the readings, and the part of reports that was read."""
-    draw, limits = Random(5), Limits(own, 2, 1e6)
+    draw, limits = Random(5), ReportLimits(own, 2, 1e6)
     readings, phases = [Reading() for _ in range(SERVERS)], [draw.uniform(0, 6.28) for _ in range(SERVERS)]
     total, many, read = 0.0, 0, 0
     for tick in range(SECONDS * SENT):
         now = 1 + tick * TENTHS // SENT
         for k, reading in enumerate(readings):
             truth = 0.5 + 0.3 * math.sin(now / (20 * TENTHS) * 6.28 + phases[k])
-            if limits.take(str(k), now) is Taken.YES:
+            if limits.admit(str(k), now) is RateVerdict.ACCEPTED:
                 load = min(1.0, max(0.0, truth + draw.gauss(0, 0.15)))
-                read += reading.take(1, tick + 1, float(now), load, now) is Order.NEW
+                read += reading.add(1, tick + 1, float(now), load, now) is ReadingOutcome.NEW
             if now > 10 * TENTHS:
                 total += (reading.value() - truth) ** 2
                 many += 1
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 
 from rushladder.conf.reader import parse_config
 from rushladder.core.host import Message
-from rushladder.gateways.difference import server_commands
+from rushladder.gateways.diff import server_commands
 from rushladder.gateways.driver import GatewayDriver
 from rushladder.interface import Availability
 from rushladder.runtime.endpoint import Level, RuntimeClient, RuntimeFactory
@@ -27,7 +27,7 @@
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
 from rushladder.standins.gateway import GatewayState
-from rushladder.timing import tenths
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 PRODUCTS = ("balance", "mandate", "collect")
@@ -94,12 +94,14 @@
 class PlainDriver(GatewayDriver):
     """The plain way: the whole table with each message, and every command awaited before the next."""
 
-    async def _lines(self, client: RuntimeClient, message: Message) -> list[str]:
-        port, refused = self.port, list[str]()
+    async def _send_commands(self, client: RuntimeClient, message: Message) -> list[str]:
+        port, refused = self.session, list[str]()
         if port is None:
             return refused
         wanted = {
-            key: line for product in port.tables for key, line in self._core.wanted(port, product).items()
+            key: line
+            for product in port.tables
+            for key, line in self._core.desired_lines(port, product).items()
         }
         commands = server_commands({}, wanted, ())
         for command in commands:
@@ -107,7 +109,7 @@
             if command.words[0] == "add" and tuple(name.split("/")) in port.held.lines:
                 command = Command(("set", "server", name, "weight", "0"))
             await client.send(command)
-        await super()._lines(client, message)
+        await super()._send_commands(client, message)
         return refused
 
 
@@ -138,19 +140,19 @@
 
             def mark(name: str) -> None:
                 cpu.append((name, time.process_time()))
-                found["held"] = float(len(manager.core.ports))
+                found["held"] = float(len(manager.core.sessions))
 
             def churn(turn: int) -> None:
-                manager.core.applied_in.clear()
-                now = tenths(reactor)
+                manager.core.apply_times.clear()
+                now = clock_tenths(reactor)
                 for k in range(0, servers, 5):
                     state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
                     manager.apply_list_change(manager.roster.change(f"c{k}", now, availability=state))
 
             def collect() -> None:
-                for elapsed in manager.core.applied_in:
+                for elapsed in manager.core.apply_times:
                     histogram.record_value(max(1, elapsed))
-                manager.core.applied_in.clear()
+                manager.core.apply_times.clear()
 
             beats: Any = HdrHistogram(1, 10_000_000, 3)  # microseconds of CPU for one batch of events
             take = manager.core.take
@@ -165,20 +167,20 @@
             waits: Any = HdrHistogram(
                 1, 600_000, 3
             )  # from sums given to the module to the message they led to
-            close, message, told = manager.reports.close, manager.core.message, [0]
+            close, message, told = manager.reports.take_events, manager.core.next_message, [0]
 
             def closed(hints: Any = None) -> list[Any]:
-                told[0] = tenths(reactor)
+                told[0] = clock_tenths(reactor)
                 return close(hints)
 
-            def sent(now: int, port: Any) -> Message:
-                made = message(now, port)
+            def sent(now: int, session: Any) -> Message:
+                made = message(now, session)
                 if made.commands and len(cpu) == 1:
                     waits.record_value(max(1, now - told[0]))
                 return made
 
-            manager.reports.close = closed  # type: ignore[method-assign]
-            manager.core.message = sent  # type: ignore[method-assign]
+            manager.reports.take_events = closed  # type: ignore[method-assign]
+            manager.core.next_message = sent  # type: ignore[method-assign]
             reactor.callWhenRunning(manager.start)
             quiet = 12.0 + many / 40
             reactor.callLater(quiet, mark, "quiet")
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -28,12 +28,12 @@
 from benchmarks.fleet import Quiet, plan
 from rushladder.conf.grammar import Address
 from rushladder.conf.reader import parse_config
-from rushladder.intake.desk import Desk, Fate
-from rushladder.intake.gather import Gathering
-from rushladder.intake.lane import GATHER, Keeper, deal, open_door
+from rushladder.intake.processor import ReportProcessor, ReportOutcome
+from rushladder.intake.datagram_buffer import DatagramBuffer
+from rushladder.intake.receiver import BATCH_INTERVAL, ReceiverSupervisor, process_batch, bind_report_socket
 from rushladder.intake.lane_pb2 import Batch, Sender
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
-from rushladder.intake.ports import Streams
+from rushladder.intake.ports import ReportStreams
 from rushladder.service.manager import Manager
 from rushladder.service.run import UDP_READ_BUDGET, dial
 
@@ -46,17 +46,17 @@
 class Plain(protocol.DatagramProtocol):
     """The plain way: datagrams are read where the manager runs."""
 
-    def __init__(self, desk: Desk) -> None:
-        self._desk, self._gathering = desk, Gathering(frozenset(desk.addresses()))
+    def __init__(self, desk: ReportProcessor) -> None:
+        self._desk, self._gathering = desk, DatagramBuffer(frozenset(desk.addresses()))
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         if not self._gathering:
-            reactor.callLater(GATHER, self._give)
+            reactor.callLater(BATCH_INTERVAL, self._give)
         self._gathering.add(addr[0], datagram)
 
     def _give(self) -> None:
         senders = [Sender(address=a, passed_over=p, reports=r) for a, p, r in self._gathering.take()]
-        deal(self._desk, Batch(senders=senders), int(10_000 * reactor.seconds()))
+        process_batch(self._desk, Batch(senders=senders), int(10_000 * reactor.seconds()))
 
 
 def report(k: int, number: int, uptime: float) -> bytes:
@@ -142,14 +142,14 @@
 def listen(manager: Manager, tcp: bool, plain: bool) -> int:
     """Listens for reports in one of the three ways, and returns the port."""
     if tcp:
-        streams = reactor.listenTCP(0, Streams(manager.desk, reactor), interface="127.0.0.1")
+        streams = reactor.listenTCP(0, ReportStreams(manager.desk, reactor), interface="127.0.0.1")
         return int(streams.getHost().port)
-    door = open_door(Address(host="127.0.0.1", port=0))
+    door = bind_report_socket(Address(host="127.0.0.1", port=0))
     if plain:
         port = reactor.adoptDatagramPort(door.fileno(), socket.AF_INET, Plain(manager.desk))
         port.maxThroughput = UDP_READ_BUDGET
     else:
-        keeper = Keeper(manager.desk, door, print)
+        keeper = ReceiverSupervisor(manager.desk, door, print)
         reactor.callWhenRunning(keeper.start)
         reactor.addSystemEventTrigger("before", "shutdown", keeper.stop)
         manager.lanes.append(keeper)
@@ -182,7 +182,7 @@
 
     def ended() -> None:
         turn("settling")
-        held.append(len(manager.core.ports))
+        held.append(len(manager.core.sessions))
 
     reactor.callWhenRunning(manager.start)
     reactor.callLater(BEAT, beat, reactor.seconds() + BEAT)
@@ -202,7 +202,7 @@
         for name, pairs in late.items()
         for which in (0, 1)
     }
-    read = desk.counts[Fate.TAKEN] + desk.counts[Fate.LATE]
+    read = desk.counts[ReportOutcome.TAKEN] + desk.counts[ReportOutcome.LATE]
     figures = (
         sent / flooded,
         came / flooded,
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -8,18 +8,18 @@
 from random import Random
 
 from rushladder.guard.admission import Admission, Line
-from rushladder.guard.book import Book, Pool, Server
-from rushladder.interface import Product, Repeat
+from rushladder.guard.projection import LoadProjection, Pool, Server
+from rushladder.interface import Idempotency, Product
 
 PRODUCTS = [
-    Product(name, 10_000, 30_000, 1.0, 0.1, Repeat.INQUIRY_LIKE, "all", 0) for name in ("x", "y", "z")
+    Product(name, 10_000, 30_000, 1.0, 0.1, Idempotency.INQUIRY_LIKE, "all", 0) for name in ("x", "y", "z")
 ]
 TEAM = 12  # servers of a table, as the module shares large regions out
 
 
-def fleet(gateways: int, servers: int) -> tuple[Book, list[Pool], list[Server]]:
+def fleet(gateways: int, servers: int) -> tuple[LoadProjection, list[Pool], list[Server]]:
     """A pool for each gateway and product (nothing shared: the dearest case), a team's servers in each."""
-    book, random = Book(), Random(1)
+    book, random = LoadProjection(), Random(1)
     some = [Server(f"c{k}", "a", "m", 1e6) for k in range(servers)]
     for server in some:
         book.add_server(server)
@@ -31,8 +31,8 @@
             book.add_pool(pool)
             pools.append(pool)
             for server in team:
-                book.weigh(pool, server, random.uniform(5, 15))
-    book.keep()
+                book.set_weight(pool, server, random.uniform(5, 15))
+    book.commit()
     return book, pools, some
 
 
@@ -77,11 +77,13 @@
                 [(Line(pool.name, server.name, random.uniform(5, 15)),)], 0, trusted=True
             ).refused
 
-        def drain(turn: int, book: Book = book, some: list[Server] = some, random: Random = random) -> None:
+        def drain(
+            turn: int, book: LoadProjection = book, some: list[Server] = some, random: Random = random
+        ) -> None:
             server = random.choice(some)
-            book.open(server, False)
-            book.open(server, True)
-            book.keep()
+            book.set_ready(server, False)
+            book.set_ready(server, True)
+            book.commit()
 
         change, closing = timed(weigh, 2000), timed(drain, 300)
         print(
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -18,7 +18,7 @@
 
 
 def part(world: Remembered) -> float:
-    parts = [world.usable(site, product) for site in ("g0", "g2") for product in ("ask", "pay")]
+    parts = [world.usable_weights(site, product) for site in ("g0", "g2") for product in ("ask", "pay")]
     return sum(lines.get(SLOW, 0) / max(1, sum(lines.values())) for lines in parts) / len(parts)
 
 
@@ -40,7 +40,7 @@
     print("| --- | --- | --- | --- |")
     for how in ("none", "kept", "a day old and wrong"):
         world = Remembered(gateways=4, servers=SERVERS)
-        world.slow = {SLOW: 0.45}
+        world.service_time = {SLOW: 0.45}
         world.run(60, 20)
         before = part(world)
         world.kill("m0")
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -16,11 +16,11 @@
 import matplotlib
 
 from rushladder.store.files import Disk
-from rushladder.store.frames import Record, frame, frames
+from rushladder.store.frames import Record, encode_frame, decode_frames
 from rushladder.store.log import Log
-from rushladder.store.memory import MINORS, Kind, Known, Notebook
+from rushladder.store.memory import MINORS, Kind, ServerKnowledge, ServerRecords
 from rushladder.store.store_pb2 import ServerMemory
-from rushladder.store.writer import carry_out
+from rushladder.store.writer import write_batch
 
 BEATS = 200
 CHANGED = 0.05  # part of the servers whose record changes a beat: a busy second of a larger fleet
@@ -102,14 +102,14 @@
     log, plain = Log(Disk(folder), "fleet", "m1", MINORS), Json(folder)
     log.open()
     start = {name: payload(draw) for name in names}
-    carry_out(log, {(int(Kind.SERVER), name): value for name, value in start.items()})
+    write_batch(log, {(int(Kind.SERVER), name): value for name, value in start.items()})
     plain.write(start)
     took, cpu, sizes = list[float](), time.process_time(), list[int]()
     for _ in range(BEATS):
         batch = {name: payload(draw) for name in draw.sample(names, max(1, round(CHANGED * servers)))}
         began = time.perf_counter()
         if way == "log":
-            carry_out(log, {(int(Kind.SERVER), name): value for name, value in batch.items()})
+            write_batch(log, {(int(Kind.SERVER), name): value for name, value in batch.items()})
         else:
             plain.write(batch)
         took.append(time.perf_counter() - began)
@@ -130,13 +130,13 @@
     log.open()
     state = {f"collector-{k}": payload(draw) for k in range(servers)}
     plain.write(state)
-    carry_out(log, {(int(Kind.SERVER), name): value for name, value in state.items()})
+    write_batch(log, {(int(Kind.SERVER), name): value for name, value in state.items()})
     began = time.perf_counter()
     log.snapshot()
     compacted = time.perf_counter() - began
     for _ in range(20):
         some = draw.sample(list(state), max(1, servers // 20))
-        carry_out(log, {(int(Kind.SERVER), name): payload(draw) for name in some})
+        write_batch(log, {(int(Kind.SERVER), name): payload(draw) for name in some})
     size = sum(len(disk.read(name)) for name in disk.names() if name != "state.json") / 1024
     disk.close()
     began = time.perf_counter()
@@ -155,13 +155,13 @@
     print("\n| servers | noting a beat p50 (ms) | p99 (ms) |")
     print("| --- | --- | --- |")
     for servers in (99, 990, 9900):
-        draw, book, took = Random(4), Notebook({}), list[float]()
-        known = [Known(f"collector-{k}", "gent-1", "large", 1.0, 1.0, 9.0) for k in range(servers)]
+        draw, book, took = Random(4), ServerRecords({}), list[float]()
+        known = [ServerKnowledge(f"collector-{k}", "gent-1", "large", 1.0, 1.0, 9.0) for k in range(servers)]
         for beat in range(BEATS):
             for k in draw.sample(range(servers), round(CHANGED * servers)):
                 known[k] = attrs.evolve(known[k], pace=0.5 + draw.random())
             began = time.perf_counter()
-            book.learned(known, 1_700_000_000_000 + 1000 * beat)
+            book.update(known, 1_700_000_000_000 + 1000 * beat)
             took.append(time.perf_counter() - began)
         print(f"| {servers} | {part(took[1:], 0.5):.2f} | {part(took[1:], 0.99):.2f} |")
 
@@ -169,10 +169,10 @@
 def framing() -> None:
     record = Record(1, 1, 0, "collector-17", payload(Random(3)))
     many, began = 50_000, time.perf_counter()
-    data = b"".join(frame(record) for _ in range(many))
+    data = b"".join(encode_frame(record) for _ in range(many))
     wrote = time.perf_counter() - began
     began = time.perf_counter()
-    read = sum(1 for _ in frames(data))
+    read = sum(1 for _ in decode_frames(data))
     took = time.perf_counter() - began
     print(f"\n{many / wrote:.0f} records a second framed, {read / took:.0f} read and proven")
 
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -23,9 +23,9 @@
     Channel,
     Event,
     Guarantee,
+    Idempotency,
     LevelUnit,
     Product,
-    Repeat,
     Tries,
 )
 from rushladder.streams.host import StreamHost
@@ -33,7 +33,7 @@
 SECOND = 10_000
 ZONES = ("a", "b")
 PRODUCTS = tuple(
-    Product(name, 12_000, 30_000, 3.0, 0.1, Repeat.INQUIRY_LIKE, "all", 50_000)
+    Product(name, 12_000, 30_000, 3.0, 0.1, Idempotency.INQUIRY_LIKE, "all", 50_000)
     for name in ("ask", "tell", "pay")
 )
 
@@ -44,7 +44,7 @@
     def send(self, message: bytes) -> None:
         pass
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         pass
 
 
@@ -91,10 +91,10 @@
             }
             for name in names
         ]
-        told = self.catalog.line(
+        told = self.catalog.read_line(
             json.dumps({"version": self.version, "full": full, "servers": servers}).encode()
         )
-        self.host.take(self.now, [told] if told else [])
+        self.host.process_batch(self.now, [told] if told else [])
 
     def join(self) -> None:
         """All come within half a second, some at a time."""
@@ -104,7 +104,7 @@
                 self.sinks[number] = Sink()
                 events += self.host.join(number, ZONES[number % 2], 12.0, True, self.sinks[number])
             self.now += 100
-            self.host.take(self.now, events)
+            self.host.process_batch(self.now, events)
         self.wait(3.0)
 
     def wait(self, seconds: float) -> None:
@@ -114,10 +114,10 @@
         while self.now < end:
             self.now, turn = self.now + 500, turn + 1
             events = list[Event]()
-            for port in self.host.ports.values():
-                if port.marks and port.gateway.name[-1] == str(turn % 10):
-                    mark = max(port.marks)
-                    if self.host.answered(port, mark):
+            for port in self.host.joined_proxies.values():
+                if port.unanswered_marks and port.gateway.name[-1] == str(turn % 10):
+                    mark = max(port.unanswered_marks)
+                    if self.host.acknowledge(port, mark):
                         events.append(Applied(port.gateway, mark, SECOND))
                 if int(port.gateway.name) % 20 == turn % 20:
                     events += [Arrivals(port.gateway, product, 4, 0, SECOND) for product in PRODUCTS]
@@ -125,7 +125,7 @@
                 server = self.workers.get(name)
                 if server is not None and place % 20 == turn % 20:
                     events.append(Tries(server, server.zone, 60, 1, SECOND, 2_000))
-            self.host.take(self.now, events)
+            self.host.process_batch(self.now, events)
 
     def release(self) -> None:
         tenth = len(self.names) // 10
@@ -142,14 +142,14 @@
         for number in range(0, self.streams, 2):
             left = self.host.leave(number, self.sinks[number])
             events += [left] if left else []
-        self.host.take(self.now, events)
+        self.host.process_batch(self.now, events)
         for first in range(0, self.streams, 64):
             events = []
             for number in range(first, min(first + 64, self.streams), 2):
                 self.sinks[number] = Sink()
                 events += self.host.join(number, ZONES[number // 2 % 2], 12.0, False, self.sinks[number])
             self.now += 100
-            self.host.take(self.now, events)
+            self.host.process_batch(self.now, events)
         self.wait(3.0)
 
 
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -11,9 +11,9 @@
 from random import Random
 
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
-from rushladder.structures.hitters import Hitters
-from rushladder.structures.quantiles import Quantiles
-from rushladder.structures.wheel import Wheel
+from rushladder.structures.heavy_hitters import HeavyHitters
+from rushladder.structures.quantiles import QuantileSketch
+from rushladder.structures.timing_wheel import TimingWheel
 
 MANY = 200_000
 
@@ -30,7 +30,7 @@
     some = [draw.randrange(keys) for _ in range(MANY)]
 
     def wheel() -> None:
-        times = Wheel[int](1000, 0)
+        times = TimingWheel[int](1000, 0)
         for turn, key in enumerate(some):
             now = turn // 2
             times.set(key, now + 50_000)
@@ -57,7 +57,7 @@
     some = [int(keys * draw.random() ** 3) for _ in range(MANY)]
 
     def sketch() -> None:
-        hitters = Hitters[int](64)
+        hitters = HeavyHitters[int](64)
         for key in some:
             hitters.add(key)
 
@@ -74,7 +74,7 @@
     some = [draw.lognormvariate(0, 1) for _ in range(MANY)]
 
     def sketch() -> None:
-        quantiles = Quantiles()
+        quantiles = QuantileSketch()
         for value in some:
             quantiles.add(value)
 
--- a/rushladder/benchlink/hosting.py
+++ b/rushladder/benchlink/hosting.py
@@ -9,7 +9,12 @@
 
 from rushladder.benchlink.wire import ENTRY, WireError, message, read_fields, read_message
 from rushladder.brain import Manager
-from rushladder.conf.birth import PER_TENTH, Unfit, birth, tenths
+from rushladder.conf.startup_settings import (
+    MICROS_PER_TENTH,
+    SettingsError,
+    manager_arguments,
+    micros_to_tenths,
+)
 from rushladder.core.workers import Workers
 from rushladder.interface import (
     Applied,
@@ -21,7 +26,7 @@
     Left,
     Listing,
     ListKind,
-    PeerWord,
+    PeerMessage,
     Probed,
     ProbeResult,
     Product,
@@ -29,7 +34,7 @@
     Reminder,
     Retry,
     SliceArrivals,
-    SliceGiven,
+    SliceAssigned,
     SliceLine,
     Tries,
     Worker,
@@ -53,8 +58,8 @@
         self._gateways: dict[int, Gateway] = {}
         self._numbers: dict[Proxy, int] = {}
         try:
-            described = birth(boot)
-        except Unfit as trouble:
+            described = manager_arguments(boot)
+        except SettingsError as trouble:
             raise WireError(f"NewInstance: boot_info {trouble}") from None
         self._products: dict[str, Product] = {product.name: product for product in described["products"]}
         self._places = {product: place for place, product in enumerate(described["products"])}
@@ -66,12 +71,12 @@
         self._now = now
         event = READERS[name](self, fields, pages)
         if event is not None:
-            self.manager.take(event)
+            self.manager.handle(event)
 
     def answer(self, now: int, reply: list[bytes]) -> None:
         """Adds the orders of the batch to the reply."""
         self._now = now
-        self.manager.close()
+        self.manager.end_batch()
         reply.extend(self._orders)
         self._orders.clear()
 
@@ -96,7 +101,7 @@
             raw["cluster"],
             _member(Availability, raw["availability"], "availability"),
             raw["size"],
-            tenths(raw["started_at"]),
+            micros_to_tenths(raw["started_at"]),
         )
 
     def _reminder(self, got: dict[str, Any], _: Pages) -> Event:
@@ -110,7 +115,7 @@
             Probed(
                 server,
                 _member(ProbeResult, got["disposition"], "disposition"),
-                tenths(got["elapsed"]),
+                micros_to_tenths(got["elapsed"]),
                 got["report"],
             )
             if server
@@ -118,7 +123,7 @@
         )
 
     def _peer_word(self, got: dict[str, Any], _: Pages) -> Event:
-        return PeerWord(got["author"], got["data"])
+        return PeerMessage(got["author"], got["data"])
 
     def _joined(self, got: dict[str, Any], _: Pages) -> Event:
         gateway = self._gateways.get(got["proxy"])
@@ -141,8 +146,8 @@
                 got["dc"],
                 got["many"],
                 got["failed"],
-                tenths(got["covers"]),
-                tenths(got["elapsed"]),
+                micros_to_tenths(got["covers"]),
+                micros_to_tenths(got["elapsed"]),
                 got["report"],
             )
             if server
@@ -152,15 +157,17 @@
     def _arrivals(self, got: dict[str, Any], _: Pages) -> Event | None:
         gateway, product = self._gateways.get(got["proxy"]), self._product(got["band"])
         return (
-            Arrivals(gateway, product, got["many"], got["failed"], tenths(got["covers"])) if gateway else None
+            Arrivals(gateway, product, got["many"], got["failed"], micros_to_tenths(got["covers"]))
+            if gateway
+            else None
         )
 
     def _applied(self, got: dict[str, Any], _: Pages) -> Event | None:
         gateway = self._gateways.get(got["proxy"])
-        return Applied(gateway, got["version"], tenths(got["elapsed"])) if gateway else None
+        return Applied(gateway, got["version"], micros_to_tenths(got["elapsed"])) if gateway else None
 
     def _slice_given(self, got: dict[str, Any], _: Pages) -> Event:
-        return SliceGiven(got["map_id"], got["yes"])
+        return SliceAssigned(got["map_id"], got["yes"])
 
     def _slice_line(self, got: dict[str, Any], _: Pages) -> Event | None:
         server = self._servers.get(got["worker"])
@@ -168,7 +175,11 @@
 
     def _slice_arrivals(self, got: dict[str, Any], _: Pages) -> Event:
         return SliceArrivals(
-            got["map_id"], self._product(got["band"]), got["many"], got["failed"], tenths(got["covers"])
+            got["map_id"],
+            self._product(got["band"]),
+            got["many"],
+            got["failed"],
+            micros_to_tenths(got["covers"]),
         )
 
     # What goes out: the module's `Host`.
@@ -182,22 +193,22 @@
     def now(self) -> int:
         return self._now
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         self._order("Weigh", map_id=tbl, size=weight, worker=worker.name)
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         self._order("Empty", map_id=tbl)
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
         self._order("AttachTable", proxy=self._numbers[proxy], map_id=tbl, class_bits=self._bits(products))
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         self._order("HoldBack", yes=out, worker=worker.name)
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """A proxy that is bound heeds this instance's withdrawals alone."""
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         self._order(
             "GateClass",
             map_id=EVERY_TABLE if tbl is None else tbl,
@@ -212,19 +223,19 @@
     def probe(self, worker: Worker) -> None:
         self._order("Touch", worker=worker.name)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self._order(
             "Announce", whom=EVERY_PEER if peer is None else peer, data=base64.b64encode(data).decode()
         )
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         self._order("Watch", yes=on)
 
-    def ask_list(self) -> None:
+    def request_list(self) -> None:
         self._order("QueryAll")
 
     def wake(self, after: int, token: int) -> None:
-        self._order("Defer", wait=after * PER_TENTH, handle=token)
+        self._order("Defer", wait=after * MICROS_PER_TENTH, handle=token)
 
     def log(self, words: str) -> None:
         self._order("Emit", words=words)
@@ -283,9 +294,9 @@
         if name == "Mark":
             if self._round is not None:
                 raise WireError("Mark inside a batch")
-            if fields["sim_time"] < 0 or tenths(fields["sim_time"]) < self._now:
+            if fields["sim_time"] < 0 or micros_to_tenths(fields["sim_time"]) < self._now:
                 raise WireError("Mark: the clock ran backwards")
-            self._round, self._now = fields["round"], tenths(fields["sim_time"])
+            self._round, self._now = fields["round"], micros_to_tenths(fields["sim_time"])
         elif self._round is None:
             raise WireError(f"{name} outside a batch")
         elif name == "End":
--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -1,7 +1,7 @@
 """All decisions of a rushladder manager: tables, levels, withdrawals, probes.
 
-An adapter (`benchlink`; later the manager's network code) makes one `Manager` a process, gives `take` every
-event of a batch and calls `close` at its end. Its interface is `interface.py`.
+An adapter (`benchlink`; later the manager's network code) makes one `Manager` a process, gives `handle` every
+event of a batch and calls `end_batch` at its end. Its interface is `interface.py`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
     Guarantee,
     Host,
     Joined,
-    Learned,
+    LearnedState,
+    LearnedWorker,
     Left,
     LevelUnit,
     Listing,
     ListKind,
-    PeerWord,
+    PeerMessage,
     Probed,
     ProbeResult,
     Product,
-    Remembered,
     Reminder,
     Retry,
     Tries,
@@ -53,11 +53,13 @@
         # Lines of withdrawals of what left, and of bindings too, that wait: no others before them (rule 3).
         self.withdrawals, self.owed, self.pending_max = 0.0, 0.0, channel.pending_max
         self.proxies, self.pace = Proxies(), channel.lines_per_s / SECOND
-        self._bound, travels = grace - channel.longest_way, channel.usual_way * self.pace
-        self.lines = Lines[Gateway](channel.head + 1, self.pace, travels, channel.pending_max)  # and its mark
+        self._bound, travels = grace - channel.max_delay, channel.usual_delay * self.pace
+        self.lines = Lines[Gateway](
+            channel.message_overhead + 1, self.pace, travels, channel.pending_max
+        )  # and its mark
         # The cap's even pace, less three messages for its join and a late beat or two.
-        self.beat = max(SECOND, channel.cap_span // max(1, (channel.message_cap or 999) - 3))
-        self._short, self._capped = grace < self.beat + channel.longest_way, channel.message_cap > 0
+        self.beat = max(SECOND, channel.cap_window // max(1, (channel.message_cap or 999) - 3))
+        self._short, self._capped = grace < self.beat + channel.max_delay, channel.message_cap > 0
         # Half the limit, and no more than lets a withdrawal behind it arrive within the grace (rules 5, 3).
         self._most = travels + min(
             0.5 * channel.pending_max,
@@ -156,7 +158,7 @@
                 self._turn(server, Sign.SOUND)
             if self._may_probe and server.standing is not Standing.LEFT:
                 self._host.probe(server)
-        seen = {server: server.seen(now, 3 + demand.cycle()) for server in self.in_service()}
+        seen = {server: server.recent_totals(now, 3 + demand.cycle()) for server in self.in_service()}
         many, voided, settled, time = (sum(sums[k] for sums in seen.values()) for k in range(4))
         # A manager whose proxies use one zone's servers would not see that all of those are slow.
         demand.heard_of = (settled, time)
@@ -168,49 +170,55 @@
             # slow for itself, or a server slow by nature would always be taken for too full.
             by_tries = v >= 4 and v > 0.35 * n and voided - v < 0.1 * (many - n) and ratio * server.pace < 1.5
             # In a jam all probes fail: blaming one after the other would push over the rest.
-            mute = server.bad_probes >= 2 and not (self.jammed or server.seen(now, 1 + demand.cycle())[2])
+            mute = server.bad_probes >= 2 and not (
+                self.jammed or server.recent_totals(now, 1 + demand.cycle())[2]
+            )
             # Rule 1: never the last one for a product of its zone.
             if (by_tries or mute) and all(
-                any(product.open_to(s, server.zone) for s in self.in_service() if s is not server)
+                any(product.is_eligible(s, server.zone) for s in self.in_service() if s is not server)
                 for product in self._products
-                if product.open_to(server, server.zone)
+                if product.is_eligible(server, server.zone)
             ):
                 self._turn(server, Sign.SICK)
                 continue
             # A tenth a period towards the table's latency over its own, as listed weights are rough. While
             # cold, quick answers to a few txns are no sign of speed (rule 4).
-            server.heard += s >= 5
-            step = max(0.1, 1 / (1 + server.heard))
+            server.report_count += s >= 5
+            step = max(0.1, 1 / (1 + server.report_count))
             server.pace += step * (min(2.0, 1 / ratio) - server.pace) * (s >= 5)
             aim = min(1.6 if self.ramp(server) >= 1 else 1.0, max(0.3, server.pace * server.hint))
             server.factor += max(-step, min(step, aim - server.factor))
 
     def tries(self, event: Tries[Server]) -> None:
-        settled = event.many - event.voided
+        settled = event.count - event.voided
         # Bounded and weighed by whoever takes reports in; a wire that has none gives no hint.
         event.worker.hint = event.load.get("hint", 1.0)
         event.worker.tries.setdefault(event.zone, Ring(SECOND, 12, 5)).add(
-            self._host.now(), event.many, event.voided, settled, settled * event.mean, event.covers
+            self._host.now(), event.count, event.voided, settled, settled * event.mean_latency, event.span
         )
 
-    def remembered(self, event: Remembered[Server]) -> None:
+    def remembered(self, event: LearnedState[Server]) -> None:
         """From before a restart: it counts as so many reports, so that what is heard outweighs it. Never
         over one that has started anew, nor above its listed weight: what was, may have changed (rule 4)."""
         for was in event.workers:
-            if (server := was.worker) in self.servers and self.ramp(server) >= 1 and not server.heard:
-                server.pace, server.factor, server.heard = was.pace, min(1.0, was.factor), was.heard
-                server.out_for, server.out_until = was.out_for, was.out_until
-
-    def learned(self) -> list[Learned[Server]]:
+            if (server := was.worker) in self.servers and self.ramp(server) >= 1 and not server.report_count:
+                server.pace, server.factor, server.report_count = (
+                    was.speed,
+                    min(1.0, was.factor),
+                    was.report_count,
+                )
+                server.out_for, server.out_until = was.exclusion_time, was.excluded_until
+
+    def learned(self) -> list[LearnedWorker[Server]]:
         return [
-            Learned(s, s.pace, s.factor, s.heard, s.out_for, s.out_until)
+            LearnedWorker(s, s.pace, s.factor, s.report_count, s.out_for, s.out_until)
             for s in self.servers
-            if s.heard or s.out_for
+            if s.report_count or s.out_for
         ]
 
     def probed(self, event: Probed[Server]) -> None:
         server, good = event.worker, event.result is ProbeResult.OK
-        if event.result is not ProbeResult.TURNED_AWAY:  # too many at once says nothing of its health
+        if event.result is not ProbeResult.REJECTED:  # too many at once says nothing of its health
             server.good_probes = good * (server.good_probes + 1)
             server.bad_probes = (not good) * (server.bad_probes + 1)
 
@@ -246,9 +254,9 @@
 
     def arrivals(self, event: Arrivals[Gateway]) -> None:
         if event.proxy in self._outbox.proxies.joined:
-            event.proxy.came[event.product].add(self._host.now(), event.many, event.covers)
+            event.proxy.arrivals[event.product].add(self._host.now(), event.count, event.span)
             event.proxy.rated = -1, 0
-            self._covers += 0.02 * (event.covers - self._covers)
+            self._covers += 0.02 * (event.span - self._covers)
 
     def cycle(self) -> int:
         """Seconds in which all reports come round: a fixed window would take a part for the whole."""
@@ -262,7 +270,7 @@
             fresh = now < gateway.joined_at + (3 + cycle) * SECOND
             gateway.rated = now, self._turn if fresh else -1
             # By the time that the lines cover, not by the clock: they come late, merged, and out of step.
-            sums = {} if fresh else {p: ring.total(now, 2 + cycle) for p, ring in gateway.came.items()}
+            sums = {} if fresh else {p: ring.total(now, 2 + cycle) for p, ring in gateway.arrivals.items()}
             gateway.rates = (
                 {p: gateway.usual_rate * part for p, part in self.mix.items()}
                 if fresh
@@ -290,7 +298,7 @@
     def word(self) -> bytes:
         return struct.pack(self._word, *self.heard_of, *self.own().values())
 
-    def heard(self, event: PeerWord) -> None:
+    def heard(self, event: PeerMessage) -> None:
         if len(event.data) == struct.calcsize(self._word):
             self._told[event.peer] = self._host.now(), struct.unpack(self._word, event.data)
 
@@ -327,7 +335,7 @@
         # All of a cycle for the sum; but the median of those heard last is as good, and fresher.
         now, serving = self._host.now(), self._fleet.in_service()
         whole, seen = (
-            [sums for server in serving if (sums := server.seen(now, buckets))[0] >= 3]
+            [sums for server in serving if (sums := server.recent_totals(now, buckets))[0] >= 3]
             for buckets in (1 + self._demand.cycle(), 2)
         )
         self._settled = sum(sums[4] for sums in whole)
@@ -479,7 +487,7 @@
         ) * joiners and self._outbox.has_room(table.gateways, len(left))
         for server in left if less and len(left) < len(table.lines) else ():
             del table.lines[server]
-            self._host.weigh(table.number, server, 0.0)
+            self._host.set_weight(table.number, server, 0.0)
             self._outbox.lines.add(table.gateways)
 
     def refresh(self, held: bool = True) -> None:
@@ -511,7 +519,7 @@
         ]:
             del self._fleet.servers[server]
 
-    def let_back(self) -> None:
+    def clear_stale_withdrawals(self) -> None:
         """A proxy keeps what a former manager withdrew, which no figure of ours shows: each line is let back
         once, with messages that go out anyway or where the channel has little else to carry."""
         lines, keeps = self._outbox.lines, [g for g in self._outbox.proxies.joined if g.keeps and g.tables]
@@ -523,14 +531,16 @@
                 for server in named
                 if server.told is Standing.SERVING
                 and server.listed_at <= latest
-                and server not in gateway.let_back
+                and server not in gateway.cleared_withdrawals
             ]
             part = 0.7 if lines.price([gateway]) <= 1 else 0.2
             if servers and self._outbox.has_room([gateway], len(servers), part, self._outbox.owed):
-                self._host.let_back(gateway, servers)
+                self._host.clear_stale_withdrawals(gateway, servers)
                 lines.add([gateway], len(servers))
-                gateway.let_back.update(dict.fromkeys(servers))
-                gateway.let_back = {server: None for server in gateway.let_back if server in named}
+                gateway.cleared_withdrawals.update(dict.fromkeys(servers))
+                gateway.cleared_withdrawals = {
+                    server: None for server in gateway.cleared_withdrawals if server in named
+                }
 
     def _holders(self, server: Server) -> Collection[Gateway]:
         return dict.fromkeys(
@@ -577,7 +587,7 @@
                 outbox.withdrawals += outbox.lines.price(holders[server])
 
     def _tell(self, server: Server, holders: Collection[Gateway]) -> None:
-        self._host.hold_back(server, server.standing is not Standing.SERVING)
+        self._host.set_withdrawn(server, server.standing is not Standing.SERVING)
         self._outbox.lines.add(holders)
         server.told = server.standing
 
@@ -601,7 +611,7 @@
         for gateway in self._outbox.proxies.joined:
             crews[gateway.zone, gateway.team].append(gateway)
         may = {
-            table: [s for s in capacity if table.products[0].open_to(s, table.zone)]
+            table: [s for s in capacity if table.products[0].is_eligible(s, table.zone)]
             for table in self._teams.all_tables()
             if table.team < SPLIT_TEAMS or crews[table.zone, table.team]
         }
@@ -672,7 +682,7 @@
             for figure, products in figures.items():
                 if self._outbox.has_room(table.gateways, 1, 0.8, self._outbox.owed):
                     # No try after one that may have run: rule 2, and lost proxies would feed jams.
-                    self._host.gate(table.number, products, figure, Retry.UNSENT)
+                    self._host.set_level(table.number, products, figure, Retry.UNSENT)
                     self._outbox.lines.add(table.gateways)
                     table.gates.update(dict.fromkeys(products, figure))
             # Hysteresis of a tenth, of the line itself or of the even one. An empty plan changes nothing: the
@@ -710,7 +720,7 @@
                 part = max(urgent, comes, rides) or 0.4
                 if (urgent or comes or not self._debt) and room(table.gateways, 1, part, owed):
                     table.lines[server] = table.wanted.get(server, 0.0)
-                    self._host.weigh(table.number, server, round(table.lines[server], 3))
+                    self._host.set_weight(table.number, server, round(table.lines[server], 3))
                     self._outbox.lines.add(table.gateways)
             table.lines = {server: weight for server, weight in table.lines.items() if weight}
             # No more than a second's lines: urgent ones of a long release held up all others for ten more.
@@ -752,7 +762,11 @@
         usual: Retry = Retry.NEVER,
     ) -> None:
         self._host, self._draw, self._products = host, Random(seed).random, products
-        self._may_tell, self._ask_within, self._failures = may_tell and managers > 1, guarantee.ask_within, 0
+        self._may_tell, self._ask_within, self._failures = (
+            may_tell and managers > 1,
+            guarantee.list_retry_within,
+            0,
+        )
         self._outbox = Outbox(channel, guarantee.drain_grace)
         self._fleet = Fleet(host, products, guarantee, may_probe)
         self._demand = Demand(host, self._outbox, products, zones)
@@ -768,10 +782,10 @@
                 Reminder: self._reminder,
                 Probed: self._fleet.probed,
                 Left: self._left,
-                PeerWord: self._demand.heard,
+                PeerMessage: self._demand.heard,
                 Joined: self._joined,
                 Applied: self._outbox.lines.applied,
-                Remembered: self._remembered,
+                LearnedState: self._remembered,
                 Arrivals: self._demand.arrivals,
                 Tries: self._fleet.tries,
             }
@@ -780,25 +794,25 @@
             # Managers started together beat apart, so that their orders do not land all at once.
             host.wake(1 + int(self._draw() * self._outbox.beat), self.BEAT)
             if asks_list:
-                host.watch(True)
+                host.watch_list(True)
 
-    def take(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         if handler := self._handlers.get(type(event)):
             handler(event)
 
     def backlog(self) -> Backlog:
         return backlog(self._host.now(), self._outbox.proxies, self._fleet.servers, self._outbox.lines)
 
-    def learned(self) -> Remembered[Server]:
+    def learned_state(self) -> LearnedState[Server]:
         """What is worth keeping over a restart."""
-        return Remembered(self._fleet.learned(), self._levels.quiet, dict(self._demand.mix))
+        return LearnedState(self._fleet.learned(), self._levels.quiet, dict(self._demand.mix))
 
-    def _remembered(self, event: Remembered[Server]) -> None:
+    def _remembered(self, event: LearnedState[Server]) -> None:
         self._fleet.remembered(event)
-        self._levels.quiet = self._levels.quiet or event.quiet
+        self._levels.quiet = self._levels.quiet or event.calm_latency
         self._demand.mix.update(event.mix)
 
-    def close(self) -> None:
+    def end_batch(self) -> None:
         self._tables.join()
         if mark := self._outbox.lines.close():
             self._host.checkpoint(mark, False)
@@ -815,21 +829,21 @@
 
     def _reminder(self, event: Reminder) -> None:
         if event.token == self.ASK:
-            self._host.watch(True)
+            self._host.watch_list(True)
         if event.token == self.BEAT:
             self._host.wake(self._outbox.beat, self.BEAT)  # first: a fault must not end the beat
             self._outbox.lines.beat()
             self._fleet.judge(self._demand)
             self._levels.period()
             self._tables.refresh()
-            self._tables.let_back()
+            self._tables.clear_stale_withdrawals()
             if self._may_tell:
-                self._host.tell(None, self._demand.word())
+                self._host.send_to_peer(None, self._demand.word())
 
     def _joined(self, event: Joined[Gateway]) -> None:
         gateway = event.proxy
         self._left(Left(gateway))  # it may come again before its break was noticed
-        gateway.begin(self._host.now(), self._products, event.keeps, 12)
+        gateway.begin(self._host.now(), self._products, event.keeps_withdrawals, 12)
         self._tables.assign(gateway)
         self._outbox.proxies.join(gateway)
         self._fleet.reached(gateway.zone)  # a zone withdrawn as cut off serves its own proxies at once
--- a/rushladder/catalog/client.py
+++ b/rushladder/catalog/client.py
@@ -9,7 +9,7 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-CONNECT_MOST = 0.3  # s for a connection: a hundred times the way between regions
+CONNECT_TIMEOUT_SECONDS = 0.3  # s for a connection: a hundred times the way between regions
 
 
 @implementer(IAgentEndpointFactory)
--- a/rushladder/catalog/reader.py
+++ b/rushladder/catalog/reader.py
@@ -67,7 +67,7 @@
         known = self.known.get(server.name)
         return (known.address, known.started_ms) if known is not None else None
 
-    def line(self, line: bytes) -> Listing[Server] | None:
+    def read_line(self, line: bytes) -> Listing[Server] | None:
         """One line of a watch, or a whole answer; None if it is empty or tells nothing new. Raises Faulty."""
         if not line.strip():
             return None
--- a/rushladder/catalog/watch.py
+++ b/rushladder/catalog/watch.py
@@ -111,7 +111,7 @@
         faults = list[str]()
         for line in lines:
             try:
-                listing = self._catalog.line(line)
+                listing = self._catalog.read_line(line)
             except Faulty as trouble:
                 faults.append(str(trouble))
                 continue
--- a/rushladder/cli/store.py
+++ b/rushladder/cli/store.py
@@ -8,8 +8,8 @@
 
 import click
 
-from rushladder.store.files import Disk, Locked
-from rushladder.store.log import Log, Refused, Step, header_of, number_of, read_file
+from rushladder.store.files import Disk, FolderLocked
+from rushladder.store.log import Log, IncompatibleStore, FileState, read_header, file_number, read_file
 from rushladder.store.memory import MINORS, Kind
 
 DIRECTORY = click.argument("directory", type=click.Path(exists=True, file_okay=False))
@@ -34,19 +34,19 @@
         disk = Disk(directory, lock=False)
         state, file_lines, owners = Counter[int](), list[str](), set[str]()
         newest = dict[tuple[int, str], bool]()
-        for name in sorted(disk.names(), key=lambda name: (number_of(name) or 0, name.startswith("log-"))):
+        for name in sorted(disk.names(), key=lambda name: (file_number(name) or 0, name.startswith("log-"))):
             data = disk.read(name)
-            if number_of(name) is None:
+            if file_number(name) is None:
                 file_lines.append(f"{name}: {len(data)} bytes, not read at start")
                 continue
             found = read_file(name, data)
-            header = header_of(data)
+            header = read_header(data)
             if header is not None:
                 version = f"{header.major}.{header.minor}"
                 owners.add(f"fleet {header.fleet}, manager {header.manager}, version {version}")
             created = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(found.created / 1000))
             size = f"{len(found.records)} records, {len(data)} bytes"
-            file_lines.append(f"{name}: {found.step.value}, {size}, {created} UTC")
+            file_lines.append(f"{name}: {found.state.value}, {size}, {created} UTC")
             for record in found.records:
                 newest[record.kind, record.key] = record.payload is not None
         state.update(kind for (kind, _), present in newest.items() if present)
@@ -67,12 +67,12 @@
     try:
         disk = Disk(directory, lock=False)
         for name in disk.names():
-            if number_of(name) is None:
+            if file_number(name) is None:
                 continue
             found = read_file(name, disk.read(name))
-            if found.step not in (Step.WHOLE, Step.TORN):
+            if found.state not in (FileState.WHOLE, FileState.TORN):
                 damaged += 1
-                click.echo(f"{name}: {found.step.value}: {found.why}")
+                click.echo(f"{name}: {found.state.value}: {found.why}")
     except OSError as error:
         return _fail("verify", directory, error)
     click.echo("damaged" if damaged else "whole")
@@ -85,13 +85,13 @@
     """Writes the whole state of DIRECTORY as one snapshot. Fails while a manager runs on it."""
     try:
         disk = Disk(directory)
-        headers = [header for name in disk.names() if (header := header_of(disk.read(name))) is not None]
+        headers = [header for name in disk.names() if (header := read_header(disk.read(name))) is not None]
         if not headers:
-            raise Refused("the directory holds no store files")
+            raise IncompatibleStore("the directory holds no store files")
         log = Log(disk, headers[-1].fleet, headers[-1].manager, MINORS, wall=lambda: int(1000 * time.time()))
         log.open()
         log.snapshot()
-        before, after = len(headers), len([name for name in disk.names() if number_of(name) is not None])
-    except (OSError, Locked, Refused) as error:
+        before, after = len(headers), len([name for name in disk.names() if file_number(name) is not None])
+    except (OSError, FolderLocked, IncompatibleStore) as error:
         return _fail("compact", directory, error)
     click.echo(f"{len(log.state)} records; {before} files before, {after} now")
--- a/rushladder/conf/objects.py
+++ b/rushladder/conf/objects.py
@@ -7,7 +7,7 @@
 import attrs
 
 from rushladder.conf.grammar import Address
-from rushladder.gateways.holding import PATIENCE, POLL, TAKEOVER
+from rushladder.gateways.election import ANSWER_TIMEOUT, POLL_INTERVAL, TAKEOVER_TIMEOUT
 from rushladder.interface import Channel, Guarantee, LevelUnit, Product
 from rushladder.runtime.endpoint import Level
 
@@ -103,9 +103,9 @@
     manager claims the gateway; patience: the timeout of one answer of a gateway.
     """
 
-    poll: int = POLL
-    takeover: int = TAKEOVER
-    patience: int = PATIENCE
+    poll: int = POLL_INTERVAL
+    takeover: int = TAKEOVER_TIMEOUT
+    patience: int = ANSWER_TIMEOUT
 
 
 @attrs.frozen
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -41,10 +41,10 @@
     PeerConfig,
     ManagerConfig,
 )
-from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat
+from rushladder.interface import Channel, Guarantee, Idempotency, LevelUnit, Product
 from rushladder.runtime.endpoint import Level
 
-REPEATS = {kind.value: kind for kind in Repeat}
+REPEATS = {kind.value: kind for kind in Idempotency}
 LEVEL_UNITS = {"ratio": LevelUnit.RATIO, "rate": LevelUnit.RATE, "off": LevelUnit.IGNORED}
 LEVELS = {"user": Level.USER, "operator": Level.OPERATOR, "admin": Level.ADMIN}
 ON_OFF = {"on": True, "off": False}
@@ -460,11 +460,11 @@
                 name=s.name,
                 sla_time=s.value("sla"),
                 expiry=s.value("expiry"),
-                rev=s.value("revenue"),
-                late_part=s.value("late", 0.0),
-                repeat=s.value("repeat"),
-                group=s.option("repeat", "group", "all"),
-                window=s.option("repeat", "window", 0),
+                revenue=s.value("revenue"),
+                late_revenue_fraction=s.value("late", 0.0),
+                idempotency=s.value("repeat"),
+                dedup_group=s.option("repeat", "group", "all"),
+                dedup_window=s.option("repeat", "window", 0),
                 writes=bool(s.value("writes")),
                 home_only=bool(s.value("home-only")),
                 models=frozenset(s.values.get("models", ())),
@@ -475,20 +475,20 @@
         channel=Channel(
             lines_per_s=manager.value("channel-lines", 1500.0),
             pending_max=manager.value("channel-waiting", 2500),
-            head=manager.value("channel-head", 3.0),
+            message_overhead=manager.value("channel-head", 3.0),
             message_cap=manager.value("messages", 0),
-            cap_span=manager.option("messages", "per", 100_000) if manager.value("messages") else 0,
-            usual_way=manager.value("channel-way", 500),
-            longest_way=manager.option("channel-way", "longest", 5000),
+            cap_window=manager.option("messages", "per", 100_000) if manager.value("messages") else 0,
+            usual_delay=manager.value("channel-way", 500),
+            max_delay=manager.option("channel-way", "longest", 5000),
         ),
         guarantee=Guarantee(
-            bare=manager.value("bare", 80_000),
+            no_worker_limit=manager.value("bare", 80_000),
             drain_grace=manager.value("grace", 40_000),
             cold_time=manager.value("cold", 150_000),
             cold_from=manager.option("cold", "from", 0.17),
-            fall_multiple=manager.value("fall", 2.5),
-            fall_for=manager.option("fall", "for", 20_000),
-            ask_within=0,
+            overload_factor=manager.value("fall", 2.5),
+            overload_duration=manager.option("fall", "for", 20_000),
+            list_retry_within=0,
             dropped_stay_open=False,
         ),
         level_unit=manager.value("levels", LevelUnit.RATIO),
--- a/rushladder/conf/birth.py
+++ b/rushladder/conf/startup_settings.py
@@ -10,32 +10,36 @@
 from math import inf
 from typing import Any
 
-from rushladder.interface import Channel, Guarantee, LevelUnit, Product, Repeat, Retry
-
-PER_TENTH = 100  # microseconds for each tenth of a millisecond inside
-REPEATS = {"retryable": Repeat.INQUIRY_LIKE, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
+from rushladder.interface import Channel, Guarantee, Idempotency, LevelUnit, Product, Retry
+
+MICROS_PER_TENTH = 100  # microseconds for each tenth of a millisecond inside
+REPEATS = {
+    "retryable": Idempotency.INQUIRY_LIKE,
+    "dedup": Idempotency.REFERENCED,
+    "fragile": Idempotency.ONCE_ONLY,
+}
 UNITS = {"ratio": LevelUnit.RATIO, "rps": LevelUnit.RATE, "silent": LevelUnit.IGNORED}
 
 
-class Unfit(ValueError):
+class SettingsError(ValueError):
     """The settings are not what their description allows."""
 
 
-def tenths(micros: float) -> int:
-    return int(micros) // PER_TENTH
+def micros_to_tenths(micros: float) -> int:
+    return int(micros) // MICROS_PER_TENTH
 
 
-def birth(boot: Mapping[str, Any]) -> dict[str, Any]:
-    """The keyword arguments of a manager. Raises Unfit with the reason."""
+def manager_arguments(boot: Mapping[str, Any]) -> dict[str, Any]:
+    """The keyword arguments of a manager. Raises SettingsError with the reason."""
     try:
-        return _birth(boot)
+        return _manager_arguments(boot)
     except KeyError as missing:
-        raise Unfit(f"lacks {missing}") from None
+        raise SettingsError(f"lacks {missing}") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as trouble:
-        raise Unfit(f"cannot be read: {trouble}") from None
+        raise SettingsError(f"cannot be read: {trouble}") from None
 
 
-def _birth(boot: Mapping[str, Any]) -> dict[str, Any]:
+def _manager_arguments(boot: Mapping[str, Any]) -> dict[str, Any]:
     fam, rules, limits = boot["family_info"], boot["guarantees"], boot["limits"]
     return {
         "managers": int(boot["group_size"]),
@@ -44,20 +48,20 @@
         "channel": Channel(
             lines_per_s=_above_0(fam, "egress_per_s"),
             pending_max=float(fam["pending_max"]),
-            head=float(fam["head"]),
+            message_overhead=float(fam["head"]),
             message_cap=int(fam.get("update_cap", 0)),
-            cap_span=tenths(fam.get("counted_over", 0)),
-            usual_way=tenths(fam["propagation"]),
-            longest_way=tenths(fam["push_delay_max"]),
+            cap_window=micros_to_tenths(fam.get("counted_over", 0)),
+            usual_delay=micros_to_tenths(fam["propagation"]),
+            max_delay=micros_to_tenths(fam["push_delay_max"]),
         ),
         "guarantee": Guarantee(
-            bare=tenths(fam["bare"]),
-            drain_grace=tenths(rules["drain_grace"]),
-            cold_time=tenths(rules["cold"]),
+            no_worker_limit=micros_to_tenths(fam["bare"]),
+            drain_grace=micros_to_tenths(rules["drain_grace"]),
+            cold_time=micros_to_tenths(rules["cold"]),
             cold_from=float(rules["cold_from"]),
-            fall_multiple=float(rules["overload_factor"]),
-            fall_for=tenths(rules["overload_for"]),
-            ask_within=tenths(rules.get("ask_within", 0)),
+            overload_factor=float(rules["overload_factor"]),
+            overload_duration=micros_to_tenths(rules["overload_for"]),
+            list_retry_within=micros_to_tenths(rules.get("ask_within", 0)),
             dropped_stay_open=bool(rules.get("dropped_stay_open", False)),
         ),
         "level_unit": UNITS[fam["throttle_by"]],
@@ -70,10 +74,10 @@
 
 
 def _above_0(fam: Mapping[str, Any], field: str) -> float:
-    """A figure that is divided by: 0 would end the first batch in a traceback. Raises Unfit."""
+    """A figure that is divided by: 0 would end the first batch in a traceback. Raises SettingsError."""
     value = float(fam[field])
     if not 0 < value < inf:
-        raise Unfit(f"family_info.{field} should be above 0")
+        raise SettingsError(f"family_info.{field} should be above 0")
     return value
 
 
@@ -83,13 +87,13 @@
     return tuple(
         Product(
             name=str(lane["name"]),
-            sla_time=tenths(lane["target"]),
-            expiry=tenths(lane["deadline"]),
-            rev=float(lane["points"]),
-            late_part=float(lane.get("late_worth", 0.0)),
-            repeat=REPEATS[lane["idempotency"]],
-            group=str(lane.get("group", "all")),
-            window=tenths(lane.get("repeat_window", 0)),
+            sla_time=micros_to_tenths(lane["target"]),
+            expiry=micros_to_tenths(lane["deadline"]),
+            revenue=float(lane["points"]),
+            late_revenue_fraction=float(lane.get("late_worth", 0.0)),
+            idempotency=REPEATS[lane["idempotency"]],
+            dedup_group=str(lane.get("group", "all")),
+            dedup_window=micros_to_tenths(lane.get("repeat_window", 0)),
             writes=bool(writers[place]),
             home_only=bool(bound[place]),
             models=frozenset(lane.get("only_kinds") or ()),
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -16,13 +16,13 @@
 import attrs
 
 from rushladder.brain import Manager
-from rushladder.core.pace import Pace
+from rushladder.core.message_cap import MessageCap
 from rushladder.core.reminders import Reminders
 from rushladder.core.roster import Roster
-from rushladder.gateways.difference import Admin, Held, Key, Line, server_commands, sweep_commands
+from rushladder.gateways.diff import AdminState, GatewayContent, Key, Line, server_commands, sweep_commands
 from rushladder.gateways.rounding import round_pool
-from rushladder.guard.allotment import allotment
-from rushladder.guard.warden import Warden
+from rushladder.guard.limit_shares import limit_shares
+from rushladder.guard.table_guard import TableGuard
 from rushladder.guard.waves import Arm, Effect
 from rushladder.interface import (
     Applied,
@@ -45,7 +45,7 @@
 PER_MILLE = 1000  # levels as a plain proxy compares them with a whole random number
 
 
-class Tbl:
+class SharedTable:
     """One shared table: its lines as ordered, those the guard let through, and the whole weights from
     them."""
 
@@ -53,7 +53,7 @@
         self.number = number
         self.lines, self.good = dict[Server, float](), dict[Server, float]()
         self.gates = dict[Product, tuple[float, Retry]]()
-        self.ports = dict[Port, None]()
+        self.sessions = dict[GatewaySession, None]()
         self._rounded, self._scales = dict[tuple[Product, int], dict[Server, int]](), dict[Product, float]()
 
     def weigh(self, server: Server, weight: float) -> None:
@@ -90,13 +90,13 @@
         return found
 
 
-class Port:
+class GatewaySession:
     """One joined gateway: which tables it uses, what it holds, what it is owed, what is on its way."""
 
-    def __init__(self, gateway: Gateway, held: Held, pace: Pace) -> None:
+    def __init__(self, gateway: Gateway, held: GatewayContent, pace: MessageCap) -> None:
         self.gateway, self.held, self._pace = gateway, held, pace
-        self.tables = dict[Product, Tbl]()
-        self.owed, self.owed_lines, self.urgent = dict[Product, None](), 0, False
+        self.tables = dict[Product, SharedTable]()
+        self.owed, self.pending_lines, self.urgent = dict[Product, None](), 0, False
         self.gates_owed = False
         self.marks, self.sent_marks = list[int](), list[int]()
         self.sent_lines, self.sent_at = 0, 0
@@ -104,7 +104,7 @@
 
     def owe(self, product: Product, urgent: bool = False) -> None:
         self.owed[product] = None
-        self.owed_lines += 1
+        self.pending_lines += 1
         self.urgent = self.urgent or urgent
 
     def due(self, now: int) -> int | None:
@@ -148,14 +148,14 @@
     ) -> None:
         self._now, self.roster, self.products, self._channel = now, roster, products, channel
         self._unit, self._cold_time = level_unit, guarantee.cold_time
-        self._tables, self.withdrawn = dict[int, Tbl](), dict[Server, None]()
-        self.warden, self._changed = Warden(Random(seed).random, guard), dict[Tbl, None]()
+        self._tables, self.withdrawn = dict[int, SharedTable](), dict[Server, None]()
+        self.table_guard, self._changed = TableGuard(Random(seed).random, guard), dict[SharedTable, None]()
         self._cold_from, self._gateways, self._held = guarantee.cold_from, tuple(gateways), frozenset[str]()
-        self.ports = dict[Gateway, Port]()
-        self._touched, self._ready = dict[Port, None](), dict[Port, None]()
+        self.sessions = dict[Gateway, GatewaySession]()
+        self._touched, self._ready = dict[GatewaySession, None](), dict[GatewaySession, None]()
         self._reminders = Reminders()
-        self.probes, self.words, self.notes = list[Server](), list[bytes](), list[str]()
-        self.applied_in = list[int]()  # order-to-applied times since they were last taken
+        self.probes, self.peer_messages, self.notes = list[Server](), list[bytes](), list[str]()
+        self.apply_times = list[int]()  # order-to-applied times since they were last taken
         self.manager = Manager(
             self,
             seed,
@@ -180,56 +180,60 @@
         """One batch of events; whatever reminders are due by `now` come first."""
         self._now = max(now, self._now)
         for reminder in self._reminders.due(self._now):
-            self.manager.take(reminder)
+            self.manager.handle(reminder)
         for event in events:
-            self.manager.take(event)
+            self.manager.handle(event)
             if isinstance(event, Listing):
                 self._listing(event)
-        self.manager.close()
+        self.manager.end_batch()
         self._judge()
         self._ready |= self._touched
         self._touched.clear()
 
-    def take_ready(self) -> list[Port]:
+    def take_pending_sessions(self) -> list[GatewaySession]:
         """The gateways that something was ordered for since this was last called."""
         ready, self._ready = list(self._ready), {}
-        return [port for port in ready if self.ports.get(port.gateway) is port]
+        return [session for session in ready if self.sessions.get(session.gateway) is session]
 
     def next_wake(self) -> int | None:
         return self._reminders.next()
 
-    def joined(self, gateway: Gateway, held: Held, capped: bool = True) -> Port:
+    def add_gateway(self, gateway: Gateway, held: GatewayContent, capped: bool = True) -> GatewaySession:
         """A gateway that this manager holds from now on; the caller gives the module its Joined with
         `take`. capped: messages to it count, as they cross a socket."""
-        self.left(gateway)
-        port = Port(gateway, held, Pace(self._channel.message_cap if capped else 0, self._channel.cap_span))
-        self.ports[gateway] = port
-        return port
-
-    def left(self, gateway: Gateway) -> None:
-        port = self.ports.pop(gateway, None)
-        if port is not None:
-            self.warden.left(gateway.name)
-            self._touched.pop(port, None)
-            self._ready.pop(port, None)
-            for tbl in port.tables.values():
-                tbl.ports.pop(port, None)
-
-    def read_back(self, port: Port, held: Held) -> None:
+        self.remove_gateway(gateway)
+        session = GatewaySession(
+            gateway, held, MessageCap(self._channel.message_cap if capped else 0, self._channel.cap_window)
+        )
+        self.sessions[gateway] = session
+        return session
+
+    def remove_gateway(self, gateway: Gateway) -> None:
+        session = self.sessions.pop(gateway, None)
+        if session is not None:
+            self.table_guard.left(gateway.name)
+            self._touched.pop(session, None)
+            self._ready.pop(session, None)
+            for tbl in session.tables.values():
+                tbl.sessions.pop(session, None)
+
+    def read_back(self, session: GatewaySession, held: GatewayContent) -> None:
         """What the gateway really holds: all of it is owed again, as far as it differs."""
-        port.held = held
-        port.sent_at, port.sent_lines = 0, 0
-        port.marks, port.sent_marks = port.sent_marks + port.marks, []
-        for product in port.tables:
-            port.owe(product)
-        port.gates_owed = bool(port.tables)
+        session.held = held
+        session.sent_at, session.sent_lines = 0, 0
+        session.marks, session.sent_marks = session.sent_marks + session.marks, []
+        for product in session.tables:
+            session.owe(product)
+        session.gates_owed = bool(session.tables)
 
     def _judge(self) -> None:
         """Each table that changed passes the guard whole, or stays as it was."""
         changed, self._changed = self._changed, {}
         for table in changed:
             products = list(
-                dict.fromkeys(p for port in table.ports for p, own in port.tables.items() if own is table)
+                dict.fromkeys(
+                    p for session in table.sessions for p, own in session.tables.items() if own is table
+                )
             )
             if not products:
                 table.accept()  # nobody uses it yet: it is judged once somebody is bound to it
@@ -237,67 +241,69 @@
             lines = {
                 server.name: weight
                 for server, weight in table.lines.items()
-                if server.name in self.warden.book.servers
+                if server.name in self.table_guard.projection.servers
             }
-            zone = next(iter(table.ports)).gateway.zone
-            if self.warden.table(str(table.number), products, zone, lines, self._now) is None:
+            zone = next(iter(table.sessions)).gateway.zone
+            if self.table_guard.table(str(table.number), products, zone, lines, self._now) is None:
                 table.accept()
 
-    def tell_demand(self) -> None:
+    def update_guard_demand(self) -> None:
         """The guard hears what comes to each table, as the module has measured it, and which limits are
         its own."""
-        held = frozenset(gateway.name for gateway in self.ports)
+        held = frozenset(gateway.name for gateway in self.sessions)
         if self._gateways and held != self._held:
             self._held = held
             servers = {
                 name: listed.server.zone for name, listed in self.roster.listed.items() if listed.limit
             }
-            self.warden.allot(allotment(servers, self._gateways, held))
-        sums = dict[tuple[Tbl, Product], float]()
-        for port in self.ports.values():
-            for product, table in port.tables.items():
-                many, covers = port.gateway.came[product].total(self._now, 4)
-                rate = 10_000 * many / covers if covers else port.gateway.usual_rate / len(self.products)
+            self.table_guard.allot(limit_shares(servers, self._gateways, held))
+        sums = dict[tuple[SharedTable, Product], float]()
+        for session in self.sessions.values():
+            for product, table in session.tables.items():
+                many, covers = session.gateway.arrivals[product].total(self._now, 4)
+                rate = 10_000 * many / covers if covers else session.gateway.usual_rate / len(self.products)
                 level = (
                     table.gates.get(product, (1.0, Retry.UNSENT))[0] if self._unit is LevelUnit.RATIO else 1.0
                 )
                 sums[table, product] = sums.get((table, product), 0.0) + min(1.0, level) * rate
         for (table, product), rate in sums.items():
-            zone = next(iter(table.ports)).gateway.zone
-            self.warden.demand(str(table.number), product, zone, rate, self._now)
+            zone = next(iter(table.sessions)).gateway.zone
+            self.table_guard.demand(str(table.number), product, zone, rate, self._now)
 
-    def watch_wave(self, met: Mapping[str, Sequence[Arm]]) -> Effect:
+    def evaluate_wave(self, met: Mapping[str, Sequence[Arm]]) -> Effect:
         """A period of the wave that is out; gateways that its verdict concerns are owed their lines."""
-        effect = self.warden.period(met, self._now)
+        effect = self.table_guard.period(met, self._now)
         if effect in (Effect.WIDEN, Effect.UNDO):
-            self.owe_all()
+            self.mark_all_pending()
         return effect
 
-    def using(self, keys: Collection[tuple[str, str]]) -> list[str]:
+    def gateways_using(self, keys: Collection[tuple[str, str]]) -> list[str]:
         """The gateways whose tables name one of the (product, server) pairs."""
         found = list[str]()
-        for port in self.ports.values():
+        for session in self.sessions.values():
             names = {
-                (product.name, server.name) for product, table in port.tables.items() for server in table.good
+                (product.name, server.name)
+                for product, table in session.tables.items()
+                for server in table.good
             }
             if not names.isdisjoint(keys):
-                found.append(port.gateway.name)
+                found.append(session.gateway.name)
         return found
 
-    def owe_all(self) -> None:
+    def mark_all_pending(self) -> None:
         """Every gateway's lines may differ from what it holds; a message is only sent where they do."""
-        for port in self.ports.values():
-            for product in port.tables:
-                port.owe(product)
-            self._ready[port] = None
+        for session in self.sessions.values():
+            for product in session.tables:
+                session.owe(product)
+            self._ready[session] = None
 
     def _known(self, server: Server) -> None:
         """The guard's view of a server."""
         listed = self.roster.listed.get(server.name)
         if listed is None or listed.server is not server:
-            return self.warden.forget(server.name)
+            return self.table_guard.forget(server.name)
         ready = listed.availability is Availability.READY and server not in self.withdrawn
-        self.warden.server(
+        self.table_guard.server(
             server.name,
             server.zone,
             server.model,
@@ -328,104 +334,106 @@
         age = self._now - server.started_at
         return 1.0 if not server.started_at or age >= self._cold_time else age / self._cold_time
 
-    def wanted(self, port: Port, product: Product) -> dict[Key, Line]:
+    def desired_lines(self, session: GatewaySession, product: Product) -> dict[Key, Line]:
         """The lines that the gateway should hold for a product, with 0 for what it holds beyond its table."""
-        tbl = port.tables[product]
+        tbl = session.tables[product]
         lines = dict[Key, Line]()
-        version = self.warden.version_of(port.gateway.name)
-        for server, weight in tbl.rounded(product, version, self.warden.factor, self.ramp).items():
+        version = self.table_guard.version_of(session.gateway.name)
+        for server, weight in tbl.rounded(product, version, self.table_guard.factor, self.ramp).items():
             listed = self.roster.listed.get(server.name)
             if listed is not None and listed.server is server:
                 lines[product.name, server.name] = Line(
-                    listed.address, weight, Admin.DRAIN if server in self.withdrawn else Admin.READY
+                    listed.address, weight, AdminState.DRAIN if server in self.withdrawn else AdminState.READY
                 )
-        for (backend, name), line in port.held.lines.items():
+        for (backend, name), line in session.held.lines.items():
             if backend == product.name and (backend, name) not in lines:
                 known = self.roster.listed.get(name)
                 out = known is None or known.server in self.withdrawn
-                admin = Admin.DRAIN if out and line.admin is Admin.READY else line.admin
+                admin = AdminState.DRAIN if out and line.admin is AdminState.READY else line.admin
                 lines[backend, name] = Line(line.address, 0, admin)
         return lines
 
-    def message(self, now: int, port: Port) -> Message:
+    def next_message(self, now: int, session: GatewaySession) -> Message:
         """Takes what the gateway is owed. It is on its way until `answered` or `read_back`."""
         self._now = max(now, self._now)
         lines = dict[Key, Line]()
-        for product in port.owed:
-            lines |= self.wanted(port, product)
+        for product in session.owed:
+            lines |= self.desired_lines(session, product)
         named = (self.roster.listed.get(server) for _, server in lines)
         cold = {one.server.name for one in named if one is not None and self.ramp(one.server) < 1}
-        commands = server_commands(port.held.lines, lines, cold)
+        commands = server_commands(session.held.lines, lines, cold)
         maps = {
             name: entries
-            for name, entries in self.maps(port).items()
-            if port.gates_owed and port.held.maps.get(name) != entries and entries
+            for name, entries in self.maps(session).items()
+            if session.gates_owed and session.held.maps.get(name) != entries and entries
         }
-        port.sent_marks, port.marks = port.marks, []
-        port.owed, port.gates_owed, port.urgent, port.owed_lines = {}, False, False, 0
-        port.sent_lines = len(commands) + sum(len(entries) + 2 for entries in maps.values())
-        port.sent_at = max(1, self._now)
-        port.went(now, port.sent_lines)
+        session.sent_marks, session.marks = session.marks, []
+        session.owed, session.gates_owed, session.urgent, session.pending_lines = {}, False, False, 0
+        session.sent_lines = len(commands) + sum(len(entries) + 2 for entries in maps.values())
+        session.sent_at = max(1, self._now)
+        session.went(now, session.sent_lines)
         return Message(tuple(commands), maps)
 
-    def sweep(self, port: Port) -> list[Command]:
+    def sweep(self, session: GatewaySession) -> list[Command]:
         """Commands that rid a gateway of servers that are off the list; none while it is owed something."""
-        if port.sent_at or port.owed:
+        if session.sent_at or session.owed:
             return []
-        used = {(p.name, server.name) for p, tbl in port.tables.items() for server in tbl.lines}
-        return sweep_commands(port.held.lines, self.roster.listed, used)
+        used = {(p.name, server.name) for p, tbl in session.tables.items() for server in tbl.lines}
+        return sweep_commands(session.held.lines, self.roster.listed, used)
 
-    def maps(self, port: Port) -> dict[str, dict[str, str]]:
+    def maps(self, session: GatewaySession) -> dict[str, dict[str, str]]:
         levels, retries = dict[str, str](), dict[str, str]()
-        for product, tbl in port.tables.items():
+        for product, tbl in session.tables.items():
             if product in tbl.gates:
                 level, retry = tbl.gates[product]
-                levels[product.name] = self.level_text(level)
+                levels[product.name] = self.format_level(level)
                 retries[product.name] = str(int(retry))
         return {LEVELS_MAP: levels, RETRIES_MAP: retries}
 
-    def level_text(self, level: float) -> str:
+    def format_level(self, level: float) -> str:
         """A level as the map holds it: per mille, or txns a second with up to three decimals."""
         return str(round(PER_MILLE * level)) if self._unit is not LevelUnit.RATE else f"{level:.3f}"
 
-    def answered(self, now: int, port: Port) -> None:
+    def message_applied(self, now: int, session: GatewaySession) -> None:
         """The message on its way was carried out. The module hears of its marks with the next batch."""
-        elapsed = max(0, now - port.sent_at)
-        if port.sent_lines:
-            self.applied_in.append(elapsed)
-            del self.applied_in[:-1000]  # enough for percentiles of a minute
-        marks, port.sent_marks, port.sent_lines, port.sent_at = port.sent_marks, [], 0, 0
+        elapsed = max(0, now - session.sent_at)
+        if session.sent_lines:
+            self.apply_times.append(elapsed)
+            del self.apply_times[:-1000]  # enough for percentiles of a minute
+        marks, session.sent_marks, session.sent_lines, session.sent_at = session.sent_marks, [], 0, 0
         if marks:
-            self.take(now, *(Applied(port.gateway, mark, elapsed) for mark in marks))
+            self.take(now, *(Applied(session.gateway, mark, elapsed) for mark in marks))
 
-    def waiting(self) -> tuple[int, int]:
+    def line_counts(self) -> tuple[int, int]:
         """Lines ordered and not sent, and lines sent and not answered, over all gateways."""
-        ports = self.ports.values()
-        return sum(port.owed_lines for port in ports), sum(port.sent_lines for port in ports)
+        sessions = self.sessions.values()
+        return sum(session.pending_lines for session in sessions), sum(
+            session.sent_lines for session in sessions
+        )
 
     # The module's orders.
 
-    def _owe(self, tbl: Tbl, products: Sequence[Product] | None = None, urgent: bool = False) -> None:
-        for port in tbl.ports:
-            self._touched[port] = None
-            for product, own in port.tables.items():
+    def _owe(self, tbl: SharedTable, products: Sequence[Product] | None = None, urgent: bool = False) -> None:
+        for session in tbl.sessions:
+            self._touched[session] = None
+            for product, own in session.tables.items():
                 if own is tbl and (products is None or product in products):
-                    port.owe(product, urgent)
+                    session.owe(product, urgent)
 
-    def _table(self, number: int) -> Tbl:
-        return self._tables.setdefault(number, Tbl(number))
+    def _table(self, number: int) -> SharedTable:
+        return self._tables.setdefault(number, SharedTable(number))
 
     def now(self) -> int:
         return self._now
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
         table.weigh(worker, weight)
         self._changed[table] = None
         self._owe(table)
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         table = self._table(tbl)
         for server in list(table.lines):
             table.weigh(server, 0.0)
@@ -435,21 +443,21 @@
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
         assert isinstance(proxy, Gateway)
-        port, table = self.ports.get(proxy), self._table(tbl)
-        if port is None:
+        session, table = self.sessions.get(proxy), self._table(tbl)
+        if session is None:
             return
-        self._touched[port] = None
+        self._touched[session] = None
         for product in products or self.products:
-            before = port.tables.get(product)
-            port.tables[product] = table
-            if before is not None and before is not table and before not in port.tables.values():
-                before.ports.pop(port, None)
-            port.owe(product, urgent=True)
-        table.ports[port] = None
+            before = session.tables.get(product)
+            session.tables[product] = table
+            if before is not None and before is not table and before not in session.tables.values():
+                before.sessions.pop(session, None)
+            session.owe(product, urgent=True)
+        table.sessions[session] = None
         self._changed[table] = None
-        port.gates_owed = True
+        session.gates_owed = True
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
         if out:
             self.withdrawn[worker] = None
@@ -459,42 +467,45 @@
         for table in self._tables.values():
             if worker in table.lines:
                 self._owe(table, urgent=out)
-        for port in self.ports.values() if out else ():
-            for product in port.tables:  # lines of an earlier holder's, not in its table any more
-                if (product.name, worker.name) in port.held.lines:
-                    self._touched[port] = None
-                    port.owe(product, urgent=True)
+        for session in self.sessions.values() if out else ():
+            for product in session.tables:  # lines of an earlier holder's, not in its table any more
+                if (product.name, worker.name) in session.held.lines:
+                    self._touched[session] = None
+                    session.owe(product, urgent=True)
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """What a gateway holds is read back, and differs until it is as wanted."""
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for table in self._tables.values() if tbl is None else (self._table(tbl),):
             for product in products or self.products:
-                zone = next(iter(table.ports)).gateway.zone if table.ports else ""
-                if self.warden.gate(str(table.number), product, zone, level, int(retry), self._now) is None:
+                zone = next(iter(table.sessions)).gateway.zone if table.sessions else ""
+                if (
+                    self.table_guard.gate(str(table.number), product, zone, level, int(retry), self._now)
+                    is None
+                ):
                     table.gates[product] = level, retry
-            for port in table.ports:
-                self._touched[port] = None
-                port.gates_owed = True
-                port.owed_lines += 1
+            for session in table.sessions:
+                self._touched[session] = None
+                session.gates_owed = True
+                session.pending_lines += 1
 
     def checkpoint(self, number: int, everyone: bool) -> None:
-        for port in self.ports.values() if everyone else self._touched:
-            port.marks.append(number)
+        for session in self.sessions.values() if everyone else self._touched:
+            session.marks.append(number)
 
     def probe(self, worker: Worker) -> None:
         assert isinstance(worker, Server)
         self.probes.append(worker)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
-        self.words.append(data)
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
+        self.peer_messages.append(data)
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """The list comes by itself here: every change is told at once."""
 
-    def ask_list(self) -> None:
-        """As for `watch`."""
+    def request_list(self) -> None:
+        """As for `watch_list`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
--- a/rushladder/core/pace.py
+++ b/rushladder/core/message_cap.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 
-class Pace:
+class MessageCap:
     """The times of the last messages to one gateway; it keeps no more than the cap allows.
 
     cap: messages within `span` (tenths of a millisecond); 0: no such limit.
--- a/rushladder/core/roster.py
+++ b/rushladder/core/roster.py
@@ -14,7 +14,7 @@
 HEADER = "# rushladder list 1"
 
 
-class NoSuch(Exception):
+class RosterError(Exception):
     """What a change of the list can't be carried out for, in the runtime API's words."""
 
 
@@ -40,7 +40,7 @@
 
     def __getitem__(self, name: str) -> Listed:
         if name not in self.listed:
-            raise NoSuch("No such server.")
+            raise RosterError("No such server.")
         return self.listed[name]
 
     def add(
@@ -55,14 +55,13 @@
         limit: float = 0.0,
         connections: int = 0,
     ) -> None:
-        """A new collector, ready. The same again changes nothing. Raises NoSuch if the name means another
-        one."""
+        """A new collector, ready. The same again changes nothing. Raises RosterError if the name is taken."""
         known = self.listed.get(name)
         if known is None:
             if len(self.listed) >= MOST:
-                raise NoSuch(f"The list is full; {MOST} servers are allowed.")
+                raise RosterError(f"The list is full; {MOST} servers are allowed.")
             if any(other.address == address for other in self.listed.values()):
-                raise NoSuch("Another server has this address.")
+                raise RosterError("Another server has this address.")
             self.listed[name] = Listed(
                 Server(name, region, model, cell),
                 address,
@@ -74,13 +73,13 @@
             )
             self.version += 1
         elif (known.server.zone, known.server.model, known.address) != (region, model, address):
-            raise NoSuch("Already exists a server with the same name.")
+            raise RosterError("Already exists a server with the same name.")
 
     def remove(self, name: str) -> Listing[Server]:
-        """Takes a collector off the list; like a plain proxy, only one in maintenance. Raises NoSuch."""
+        """Takes a collector off the list; like a plain proxy, only one in maintenance. Raises RosterError."""
         known = self[name]
         if known.availability is not Availability.GONE:
-            raise NoSuch("Only servers in maintenance mode can be deleted.")
+            raise RosterError("Only servers in maintenance mode can be deleted.")
         del self.listed[name]
         self.version += 1
         return Listing(ListKind.CHANGES, self.version, [self._entry(known)])
@@ -98,9 +97,9 @@
         if (known.availability, known.size) == before:
             return None
         self.version += 1
-        return self.told(name)
+        return self.listing_of(name)
 
-    def told(self, name: str) -> Listing[Server]:
+    def listing_of(self, name: str) -> Listing[Server]:
         """The event that tells of one collector as it stands."""
         return Listing(ListKind.CHANGES, self.version, [self._entry(self[name])])
 
--- a/rushladder/core/reports.py
+++ b/rushladder/core/traffic.py
@@ -10,7 +10,7 @@
 from rushladder.interface import Arrivals, Event, Product, Tries
 
 
-class Reports:
+class TrafficSums:
     """Sums for each server and region of gateways since the last period. Bounded by servers times regions."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
             old.many + many, old.voided + voided, old.time + time, float(product.sla_time)
         )
 
-    def take_met(self) -> dict[str, list[Arm]]:
+    def take_arms(self) -> dict[str, list[Arm]]:
         """By gateway, since this was last called."""
         found = dict[str, list[Arm]]()
         for (name, _), arm in self._met.items():
@@ -51,7 +51,7 @@
     def left(self, gateway: Gateway) -> None:
         self._came = {key: sums for key, sums in self._came.items() if key[0] is not gateway}
 
-    def close(self, hints: Mapping[str, float] | None = None) -> list[Event]:
+    def take_events(self, hints: Mapping[str, float] | None = None) -> list[Event]:
         """The period's events. Their time is such that many over time is the sum of the gateways' rates."""
         events: list[Event] = []
         for (server, zone), (many, voided, time, rate) in self._sums.items():
--- a/rushladder/dnsfront/front.py
+++ b/rushladder/dnsfront/front.py
@@ -13,7 +13,7 @@
 import attrs
 
 from rushladder.conf.objects import DnsConfig
-from rushladder.core.host import LEVELS_MAP, Core, Port
+from rushladder.core.host import LEVELS_MAP, Core, GatewaySession
 from rushladder.dnsfront import cookies, wire
 from rushladder.dnsfront.answers import Answers, Asked, Chosen, Regions, Target, label
 from rushladder.dnsfront.askers import FADES, Asker, Askers
@@ -23,10 +23,10 @@
 from rushladder.dnsfront.records import Answer, Question, Rcode
 from rushladder.dnsfront.split import Share, Split
 from rushladder.dnsfront.zone import Kind, Place, Zone
-from rushladder.gateways.difference import Admin, Held, applied
-from rushladder.interface import Arrivals, Availability, Event, Joined, Product, Repeat
+from rushladder.gateways.diff import AdminState, GatewayContent, apply_commands
+from rushladder.interface import Arrivals, Availability, Event, Idempotency, Joined, Product
 from rushladder.records import Gateway
-from rushladder.timing import Call, Clock, tenths
+from rushladder.timing import Clock, DelayedCall, clock_tenths
 
 SECOND = 10_000
 MOST_NAMED = 8  # servers of an answer: with additional addresses under 512 bytes
@@ -80,11 +80,11 @@
 
     def __init__(self, gateway: Gateway, core: Core, clock: Clock, changed: Callable[[Seat], None]) -> None:
         self.gateway, self._core, self._clock, self._changed = gateway, core, clock, changed
-        self.port: Port | None = None
-        self._later: Call | None = None
+        self.port: GatewaySession | None = None
+        self._later: DelayedCall | None = None
 
     def begin(self) -> Event:
-        self.port = self._core.joined(self.gateway, Held({}, {}), capped=False)
+        self.port = self._core.add_gateway(self.gateway, GatewayContent({}, {}), capped=False)
         return Joined(self.gateway, True)
 
     def kick(self) -> None:
@@ -93,13 +93,13 @@
             self._later = self._clock.callLater(0, self._hold)
 
     def _hold(self) -> None:
-        port, now = self.port, tenths(self._clock)
+        port, now = self.port, clock_tenths(self._clock)
         if port is None or port.due(now) is None:
             return
-        message = self._core.message(now, port)
-        applied(port.held.lines, message.commands)
+        message = self._core.next_message(now, port)
+        apply_commands(port.held.lines, message.commands)
         port.held.maps.update({name: dict(entries) for name, entries in message.maps.items()})
-        self._core.answered(now, port)
+        self._core.message_applied(now, port)
         self._changed(self)
 
 
@@ -121,7 +121,7 @@
         way: int,
     ) -> None:
         self.site, self._core, self._clock, self._wall, self._give = site, core, clock, wall, give
-        now = tenths(clock)
+        now = clock_tenths(clock)
         self.lifetimes, self.limits = Lifetimes(grace, way, now, draw), Limiter()
         self.counts, self._serial, self._begun = dict.fromkeys(Fate, 0), int(wall()), now
         self.seats = [
@@ -165,8 +165,11 @@
     def period(self, reported: Mapping[str, float]) -> list[Event]:
         """Once a period: estimates are corrected, and the core is told what came. reported: txns a second
         that servers say they get."""
-        now, events = tenths(self._clock), list[Event]()
-        own = {name: listed.server.seen(now, FRESH)[4] for name, listed in self._core.roster.listed.items()}
+        now, events = clock_tenths(self._clock), list[Event]()
+        own = {
+            name: listed.server.recent_totals(now, FRESH)[4]
+            for name, listed in self._core.roster.listed.items()
+        }
         expected = dict[str, float]()  # by all pools: what a server gets is not told by product
         for pool in self.pools.values():
             for name, volume in pool.askers.period(now).items():
@@ -206,7 +209,7 @@
                     backend != product.name
                     or known is None
                     or not line.weight
-                    or line.admin is not Admin.READY
+                    or line.admin is not AdminState.READY
                 ):
                     continue
                 if known.availability is not Availability.READY:
@@ -217,7 +220,7 @@
             if targets.keys() != pool.targets.keys():
                 self._serial = max(self._serial + 1, int(self._wall()))
             pool.targets, pool.planned = targets, pool.planned or bool(targets)
-            settled = self.lifetimes.settled(tenths(self._clock))
+            settled = self.lifetimes.settled(clock_tenths(self._clock))
             demand = pool.askers.demand or seat.gateway.usual_rate / len(self._core.products)
             pool.split.plan(shares, demand, settled)
             pool.level = int(float(port.held.maps.get(LEVELS_MAP, {}).get(product.name, "1000")))
@@ -254,7 +257,7 @@
             return Answer(bad, authoritative=False)
         place = self._answers.place(question)
         if not proven:
-            verdict = self.limits.take(prefix(source), *self._limit(place), tenths(self._clock))
+            verdict = self.limits.take(prefix(source), *self._limit(place), clock_tenths(self._clock))
             if verdict is Verdict.DROP:
                 self.counts[Fate.DROPPED] += 1
                 return None
@@ -277,7 +280,7 @@
         return f"{place.product}/{place.host}", Limited.ANSWER
 
     def _lets(self, source: str, name: str, kind: Limited) -> bool:
-        verdict = self.limits.take(prefix(source), name, kind, tenths(self._clock))
+        verdict = self.limits.take(prefix(source), name, kind, clock_tenths(self._clock))
         if verdict is not Verdict.ANSWER:
             self.counts[Fate.DROPPED] += 1
         return verdict is Verdict.ANSWER
@@ -296,7 +299,7 @@
 
     def _choose(self, asked: Asked, weighed: bool) -> Chosen | None:
         """One asker gets one answer until it runs out: asking often changes nothing for anyone."""
-        now, (source, proven) = tenths(self._clock), self._asker
+        now, (source, proven) = clock_tenths(self._clock), self._asker
         pool = self.pools[asked.product, asked.region]
         pool.questions += 1
         if not pool.targets:
@@ -319,7 +322,7 @@
     def _many(self, pool: Pool, volume: float) -> int:
         """How many servers an answer names: one for a product that must not run twice (rule 2), else more
         to who brings a large part."""
-        if pool.product.repeat is Repeat.ONCE_ONLY:
+        if pool.product.idempotency is Idempotency.ONCE_ONLY:
             return 1
         part = volume / pool.askers.demand if pool.askers.demand else 0.0
         return max(1, min(MOST_NAMED, max(self.site.min_servers, round(part * len(pool.targets)))))
@@ -334,5 +337,5 @@
             f"cold={cold}",
             f"level={pool.level}",
             f"ttl={self.lifetimes.usual}",
-            f"repeat={pool.product.repeat.value}",
+            f"repeat={pool.product.idempotency.value}",
         ]
--- a/rushladder/dnsfront/split.py
+++ b/rushladder/dnsfront/split.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rushladder.structures.choice import Stride
+from rushladder.structures.weighted_choice import StrideScheduler
 
 SECOND = 10_000
 LOOKS = 8  # cold servers passed over for one answer: then only warm ones are looked at
@@ -36,7 +36,11 @@
     def __init__(self) -> None:
         self.shares: Mapping[str, Share] = {}
         self.standing = dict[str, float]()
-        self._warm, self._cold, self._strange = Stride[str](), Stride[str](), Stride[str]()
+        self._warm, self._cold, self._strange = (
+            StrideScheduler[str](),
+            StrideScheduler[str](),
+            StrideScheduler[str](),
+        )
         self._ends = deque[tuple[int, dict[str, float]]]()  # seconds in which answers run out, in their order
         self._whole, self.demand, self.cold = 0.0, 0.0, False  # cold: whether any server of the plan is
 
@@ -49,7 +53,9 @@
         if shares == self.shares:
             return
         for one, other in ((self._cold, self._warm), (self._warm, self._cold)):
-            one.begin(other.now if not len(one) else 0.0)  # both run by one clock; an empty one stood still
+            one.advance_to(
+                other.virtual_time if not len(one) else 0.0
+            )  # both run by one clock; an empty one stood still
         for name in sorted({*self.shares, *shares}):
             share = shares.get(name, Share(0.0))
             self._warm.set(name, 0.0 if share.cold else share.weight)
@@ -71,7 +77,9 @@
         self.expire(now)
         each = volume / max(1, min(many, len(self.shares)))
         stranger = not known and len(self._strange) > 0
-        found = self._strange.least(many, lambda name: True, 0) if stranger else self._turns(many, each)
+        found = (
+            self._strange.next_fitting(many, lambda name: True, 0) if stranger else self._turns(many, each)
+        )
         if (
             not found and self.shares
         ):  # all are cold, and full: the one with the most room, as rule 1 is first
@@ -79,17 +87,21 @@
         whole = sum(self.shares[name].weight for name in found)
         parts = {name: self.shares[name].weight / whole if weighed else 1 / len(found) for name in found}
         for name, part in parts.items():
-            (self._strange if stranger else self._of(name)).take(name, volume * part)
+            (self._strange if stranger else self._of(name)).charge(name, volume * part)
         if known:
             self._stand({name: volume * part for name, part in parts.items()}, ttl, now)
         return parts
 
     def _turns(self, many: int, each: float) -> list[str]:
-        cold = self._cold.least(many, lambda name: self._fits(name, each), LOOKS) if len(self._cold) else []
-        warm = self._warm.least(many, lambda name: True, 0)
-        return sorted([*cold, *warm], key=lambda name: self._of(name).turn(name))[:many]
-
-    def _of(self, name: str) -> Stride[str]:
+        cold = (
+            self._cold.next_fitting(many, lambda name: self._fits(name, each), LOOKS)
+            if len(self._cold)
+            else []
+        )
+        warm = self._warm.next_fitting(many, lambda name: True, 0)
+        return sorted([*cold, *warm], key=lambda name: self._of(name).pass_of(name))[:many]
+
+    def _of(self, name: str) -> StrideScheduler[str]:
         return self._cold if self.shares[name].cold else self._warm
 
     def _fits(self, name: str, each: float) -> bool:
--- a/rushladder/gateways/difference.py
+++ b/rushladder/gateways/diff.py
@@ -18,7 +18,7 @@
 Key = tuple[str, str]  # backend, server
 
 
-class Admin(Enum):
+class AdminState(Enum):
     READY = "ready"
     DRAIN = "drain"
     MAINT = "maint"
@@ -30,11 +30,11 @@
 
     address: str  # ADDRESS:PORT
     weight: int
-    admin: Admin
+    admin: AdminState
 
 
 @attrs.define
-class Held:
+class GatewayContent:
     """What a gateway holds: its lines, and the two maps as they were last committed."""
 
     lines: dict[Key, Line] = attrs.field(factory=dict)
@@ -53,7 +53,13 @@
     for row in parse_table(answer, None):
         try:
             bits = int(row["srv_admin_state"])
-            admin = Admin.MAINT if bits & MAINT_BITS else Admin.DRAIN if bits & DRAIN_BITS else Admin.READY
+            admin = (
+                AdminState.MAINT
+                if bits & MAINT_BITS
+                else AdminState.DRAIN
+                if bits & DRAIN_BITS
+                else AdminState.READY
+            )
             found[row["be_name"], row["srv_name"]] = Line(
                 f"{row['srv_addr']}:{row['srv_port']}", int(row["srv_uweight"]), admin
             )
@@ -83,31 +89,34 @@
         key[0]
         for lines in (wanted, held)
         for key, line in lines.items()
-        if line.weight and line.admin is Admin.READY and key[1] not in cold and wanted.get(key, line) == line
+        if line.weight
+        and line.admin is AdminState.READY
+        and key[1] not in cold
+        and wanted.get(key, line) == line
     }
     for key, line in wanted.items():
         have, name = held.get(key), "/".join(key)
         if have is None:
-            if not line.weight or line.admin is not Admin.READY:
+            if not line.weight or line.admin is not AdminState.READY:
                 continue
             # A server that is added starts in maintenance with weight 0: it carries nothing before it is
             # released.
             adds.append(Command(("add", "server", name, line.address, "weight", "0")))
-            have = Line(line.address, 0, Admin.MAINT)
+            have = Line(line.address, 0, AdminState.MAINT)
         elif have.address != line.address:
             host, port = line.address.rsplit(":", 1)
             adds.append(Command(("set", "server", name, "addr", host, "port", port)))
         weight = Command(("set", "server", name, "weight", str(line.weight)))
         state = Command(("set", "server", name, "state", line.admin.value))
         rises = line.weight > have.weight
-        if line.admin is not Admin.READY:
+        if line.admin is not AdminState.READY:
             drains += [state] if line.admin is not have.admin else []
             downs += [weight] if line.weight != have.weight else []
         else:
             group = late if key[1] in cold and key[0] in carried else ups
             if line.weight != have.weight:
-                (group if rises or have.admin is not Admin.READY else downs).append(weight)
-            group += [state] if have.admin is not Admin.READY else []
+                (group if rises or have.admin is not AdminState.READY else downs).append(weight)
+            group += [state] if have.admin is not AdminState.READY else []
     return adds + ups + drains + downs + late
 
 
@@ -123,7 +132,7 @@
         if key[1] in listed or key in used or line.weight:
             continue
         name = "/".join(key)
-        if line.admin is Admin.MAINT:
+        if line.admin is AdminState.MAINT:
             found.append(Command(("del", "server", name)))
         else:
             found.append(Command(("set", "server", name, "state", "maint")))
@@ -137,7 +146,7 @@
     ]
 
 
-def applied(held: dict[Key, Line], commands: Iterable[Command]) -> None:
+def apply_commands(held: dict[Key, Line], commands: Iterable[Command]) -> None:
     """Notes in `held` what answered commands have changed."""
     for command in commands:
         words = command.words
@@ -146,12 +155,12 @@
         backend, _, server = words[2].partition("/")
         key = backend, server
         if words[0] == "add":
-            held[key] = Line(words[3], 0, Admin.MAINT)
+            held[key] = Line(words[3], 0, AdminState.MAINT)
         elif words[0] == "del":
             held.pop(key, None)
         elif key in held and words[3] == "weight":
             held[key] = attrs.evolve(held[key], weight=int(words[4]))
         elif key in held and words[3] == "state":
-            held[key] = attrs.evolve(held[key], admin=Admin(words[4]))
+            held[key] = attrs.evolve(held[key], admin=AdminState(words[4]))
         elif key in held and words[3] == "addr":
             held[key] = attrs.evolve(held[key], address=f"{words[4]}:{words[6]}")
--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -1,7 +1,7 @@
 """Drives one gateway over its runtime socket: reads it, holds it, sends it what it is owed.
 
-Everything that is decided here is decided elsewhere: `Holding` says who holds the gateway, the core what it
-should hold, `server_commands` in which order. A connection that is lost, and an answer that is not what was
+Nothing is decided here: `HolderElection` says who holds the gateway, the core what it should hold,
+`server_commands` in which order. A connection that is lost, and an answer that is not what was
 asked for, end alike: what the gateway holds is read back and compared, so that recovery and ordinary
 operation are the same code.
 """
@@ -16,16 +16,16 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from rushladder.core.host import LEVELS_MAP, RETRIES_MAP, Core, Message, Port
-from rushladder.core.reports import Reports
-from rushladder.gateways.difference import Held, applied, map_commands, read_lines, read_map
-from rushladder.gateways.holding import Effect, Holding, Stand, Word, read_word
+from rushladder.core.host import LEVELS_MAP, RETRIES_MAP, Core, Message, GatewaySession
+from rushladder.core.traffic import TrafficSums
+from rushladder.gateways.diff import GatewayContent, apply_commands, map_commands, read_lines, read_map
+from rushladder.gateways.election import Effect, HolderElection, HolderState, Word, read_word
 from rushladder.gateways.meter import Birth, Met, Meter
 from rushladder.interface import Event, Joined, Left, Product
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient, NoAnswer
 from rushladder.runtime.grammar import Command, parse_fields
-from rushladder.timing import TENTHS, Call, Clock, tenths
+from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
 HOLDER, WROTE = "proc.rushladder_holder", "proc.rushladder_wrote"
 GOOD_ANSWERS = ("", "New server registered.\n", "Server deleted.\n")
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class Times:
+class DriverTimes:
     """In seconds: between two readings, and for one answer."""
 
     poll: float
@@ -82,9 +82,9 @@
         connect: Callable[[RuntimeClient], Deferred[Any]],
         gateway: Gateway,
         core: Core,
-        reports: Reports,
-        holding: Holding,
-        times: Times,
+        reports: TrafficSums,
+        election: HolderElection,
+        times: DriverTimes,
         draw: Callable[[], float],
         log: Log,
         give: Callable[..., None],
@@ -92,16 +92,16 @@
         give_way: Callable[[], None] = lambda: None,
     ) -> None:
         self._clock, self._connect, self.gateway, self._core = clock, connect, gateway, core
-        self._reports, self.holding, self._times, self._draw = reports, holding, times, draw
+        self._reports, self.election, self._times, self._draw = reports, election, times, draw
         self._log, self._give, self._fault, self._give_way = log, give, fault, give_way
         self._products = {product.name: product for product in core.products}
         self._client: RuntimeClient | None = None
         self._meter = Meter()
-        self.port: Port | None = None
+        self.session: GatewaySession | None = None
         self._wait, self._again, self._numbers = FIRST_WAIT, 0.0, 0
         self._sending, self._swept = False, clock.seconds()
-        self._later: Call | None = None
-        self._poll: Call | None = None
+        self._later: DelayedCall | None = None
+        self._poll: DelayedCall | None = None
         self._stopped = False
         self.last_wrote = ""
 
@@ -123,7 +123,7 @@
     def connected(self) -> bool:
         return self._client is not None and self._client.open
 
-    def waiting(self) -> int:
+    def unanswered_commands(self) -> int:
         """Commands that the gateway has not answered."""
         return self._client.waiting() if self._client else 0
 
@@ -152,7 +152,7 @@
             if call is not None and call.active():
                 call.cancel()
         self._sending = False
-        if self.holding.lost() is Effect.END:
+        if self.election.lost() is Effect.END:
             self._end(f"connection lost: {why}")
         if not self._stopped:
             self._retry(why)
@@ -188,15 +188,15 @@
             self._poll = self._clock.callLater(self._times.poll, lambda: self._run(self._read(client)))
 
     async def _read(self, client: RuntimeClient) -> None:
-        asked = tenths(self._clock)
+        asked = clock_tenths(self._clock)
         questions = [words(f"get var {HOLDER}"), words(f"get var {WROTE}")]
-        if self.holding.stand is Stand.HOLDING:
+        if self.election.state is HolderState.HOLDING:
             questions += [words("show info"), words("show stat -1 6 -1")]
         answers = await client.send(*questions)
-        now = tenths(self._clock)
-        effect = self.holding.read(read_word(read_var(answers[0])), asked, now)
+        now = clock_tenths(self._clock)
+        effect = self.election.read(read_word(read_var(answers[0])), asked, now)
         await self._carry_out(client, effect)
-        if self.port is not None and self.holding.stand is Stand.HOLDING:
+        if self.session is not None and self.election.state is HolderState.HOLDING:
             if read_var(answers[1]) != self.last_wrote and not self._sending and effect is not Effect.BEGIN:
                 self._log.warning(
                     "gateway.foreign-write", gateway=self.gateway.name, wrote=read_var(answers[1])
@@ -205,52 +205,52 @@
             if len(answers) == 4:
                 self._met_since(answers[2], answers[3], asked)
             self.kick()
-            await self._sweep(client, self.port)
+            await self._sweep(client, self.session)
         self._next_poll(client)
 
-    async def _sweep(self, client: RuntimeClient, port: Port) -> None:
+    async def _sweep(self, client: RuntimeClient, session: GatewaySession) -> None:
         """Now and then, what nobody lists any more; a refusal (it still has connections) is asked again
         later."""
         if self._clock.seconds() < self._swept + SWEEP or self._sending:
             return
         self._swept = self._clock.seconds()
-        commands = self._core.sweep(port)[:A_LINE]
-        if commands and self.holding.may_send(tenths(self._clock)):
+        commands = self._core.sweep(session)[:A_LINE]
+        if commands and self.election.may_send(clock_tenths(self._clock)):
             answers = await client.send(*commands)
             done = [
                 command for command, answer in zip(commands, answers, strict=True) if answer in GOOD_ANSWERS
             ]
-            applied(port.held.lines, done)
+            apply_commands(session.held.lines, done)
 
     async def _carry_out(self, client: RuntimeClient, effect: Effect) -> None:
         if effect in (Effect.END, Effect.END_CLAIM):
             self._end("held by another" if effect is Effect.END else "the gateway restarted")
-            if self.holding.stand is Stand.REPLACED:
+            if self.election.state is HolderState.REPLACED:
                 return self._give_way()
         if effect in (Effect.CLAIM, Effect.END_CLAIM, Effect.BEGIN, Effect.BEAT, Effect.REPAIR):
-            await client.send(set_var(HOLDER, str(self.holding.word())))
+            await client.send(set_var(HOLDER, str(self.election.word())))
         if effect is Effect.BEGIN:
             held = await self._held(client)
-            if self.holding.stand is Stand.HOLDING:
+            if self.election.state is HolderState.HOLDING:
                 self._begin(held)
-        if effect is Effect.REPAIR and self.port is not None:
-            self._log.warning("gateway.stale-claim", gateway=self.gateway.name, epoch=self.holding.epoch)
+        if effect is Effect.REPAIR and self.session is not None:
+            self._log.warning("gateway.stale-claim", gateway=self.gateway.name, epoch=self.election.epoch)
             await self._read_back(client)
 
-    async def _held(self, client: RuntimeClient) -> Held:
+    async def _held(self, client: RuntimeClient) -> GatewayContent:
         answers = await client.send(
             words("show servers state"), words(f"show map {LEVELS_MAP}"), words(f"show map {RETRIES_MAP}")
         )
         if "# " not in answers[0]:
             raise Unexpected(f"no table of servers: {answers[0][:80]!r}")
-        return Held(
+        return GatewayContent(
             read_lines(answers[0]), {LEVELS_MAP: read_map(answers[1]), RETRIES_MAP: read_map(answers[2])}
         )
 
     async def _read_back(self, client: RuntimeClient) -> None:
         held = await self._held(client)
-        if self.port is not None:
-            self._core.read_back(self.port, held)
+        if self.session is not None:
+            self._core.read_back(self.session, held)
             self._numbers += 1
             self.last_wrote = str(self._stamp())
             await client.send(set_var(WROTE, self.last_wrote))
@@ -261,7 +261,9 @@
         up = facts.get("Uptime_sec", "")
         if not up.isdigit():
             raise Unexpected(f"no uptime in: {info[:80]!r}")
-        found, span = self._meter.poll(stat, Birth(facts.get("Pid", ""), asked - int(up) * TENTHS), asked)
+        found, span = self._meter.poll(
+            stat, Birth(facts.get("Pid", ""), asked - int(up) * TENTHS_PER_SECOND), asked
+        )
         tries, came = dict[Server, Met](), dict[Product, Met]()
         for (backend, name), met in found.items():
             listed = self._core.roster.listed.get(name)
@@ -282,59 +284,59 @@
         came = {product: came.get(product, Met(0, 0, 0, 0.0)) for product in self._products.values()}
         self._reports.add(self.gateway, tries, came, span)
 
-    # Holding.
+    # HolderElection.
 
-    def _begin(self, held: Held) -> None:
+    def _begin(self, held: GatewayContent) -> None:
         self._numbers = 0
         self._meter = Meter()
         self.last_wrote = ""
-        self.port = self._core.joined(self.gateway, held)
+        self.session = self._core.add_gateway(self.gateway, held)
         self._log.info(
-            "gateway.held", gateway=self.gateway.name, epoch=self.holding.epoch, lines=len(held.lines)
+            "gateway.held", gateway=self.gateway.name, epoch=self.election.epoch, lines=len(held.lines)
         )
         events: tuple[Event, ...] = (Joined(self.gateway, not held.lines),)
         self._give(*events)
 
     def _end(self, cause: str) -> None:
-        if self.port is None:
+        if self.session is None:
             return
-        self.port = None
-        self._log.info("gateway.left", gateway=self.gateway.name, epoch=self.holding.epoch, cause=cause)
+        self.session = None
+        self._log.info("gateway.left", gateway=self.gateway.name, epoch=self.election.epoch, cause=cause)
         self._reports.left(self.gateway)
-        self._core.left(self.gateway)
+        self._core.remove_gateway(self.gateway)
         self._give(Left(self.gateway))
 
     def _stamp(self) -> Word:
-        word = self.holding.word()
+        word = self.election.word()
         return Word(word.epoch, word.manager, word.region, self._numbers)
 
     # Sending.
 
     def kick(self) -> None:
         """Something may be owed: sends it now, or when the message cap allows."""
-        port, now = self.port, tenths(self._clock)
-        if port is None or self._sending or self._client is None or not self._client.open:
+        session, now = self.session, clock_tenths(self._clock)
+        if session is None or self._sending or self._client is None or not self._client.open:
             return
-        due = port.due(now)
+        due = session.due(now)
         if due is None:
             return
-        due = max(due, int(self._again * TENTHS))
-        if due > now or not self.holding.may_send(now):
+        due = max(due, int(self._again * TENTHS_PER_SECOND))
+        if due > now or not self.election.may_send(now):
             if self._later is None or not self._later.active():
-                wait = max(due - now, 1) / TENTHS if due > now else self._times.poll / 4
+                wait = max(due - now, 1) / TENTHS_PER_SECOND if due > now else self._times.poll / 4
                 self._later = self._clock.callLater(wait, self.kick)
             return
         self._sending = True
-        self._run(self._send(self._client, port, self._core.message(now, port)))
+        self._run(self._send(self._client, session, self._core.next_message(now, session)))
 
-    async def _send(self, client: RuntimeClient, port: Port, message: Message) -> None:
+    async def _send(self, client: RuntimeClient, session: GatewaySession, message: Message) -> None:
         refused = list[str]()
         if message.commands or message.maps:
-            refused = await self._lines(client, message)
-            if port is not self.port:
+            refused = await self._send_commands(client, message)
+            if session is not self.session:
                 return
-            applied(port.held.lines, message.commands)
-            port.held.maps.update({name: dict(entries) for name, entries in message.maps.items()})
+            apply_commands(session.held.lines, message.commands)
+            session.held.maps.update({name: dict(entries) for name, entries in message.maps.items()})
         self._sending = False
         if refused:
             self._fault(f"gateway {self.gateway.name} refused: {refused[0][:200]}")
@@ -346,11 +348,11 @@
             await self._read_back(client)
             return
         self._wait = FIRST_WAIT
-        self._core.answered(tenths(self._clock), port)
+        self._core.message_applied(clock_tenths(self._clock), session)
         self._give()
         self.kick()  # what was ordered meanwhile
 
-    async def _lines(self, client: RuntimeClient, message: Message) -> list[str]:
+    async def _send_commands(self, client: RuntimeClient, message: Message) -> list[str]:
         """Sends all of it; returns the answers that are no success. Map versions come first, as they must
         be known."""
         commands = list(message.commands)
--- a/rushladder/gateways/holding.py
+++ b/rushladder/gateways/election.py
@@ -35,7 +35,7 @@
     return Word(int(match[1]), match[2], match[3], int(match[4])) if match else None
 
 
-class Stand(Enum):
+class HolderState(Enum):
     AWAY = "no connection"
     WATCHING = "another holds it, or nobody yet"
     CLAIMING = "own claim written, not yet settled"
@@ -67,13 +67,13 @@
     END_CLAIM = "it is lost with all it held; write a claim"
 
 
-POLL = 10_000  # 1 s between two readings: the module's bucket of time
-TAKEOVER = 40_000  # 4 s of silence: three readings missed, and one to spare
-PATIENCE = 20_000  # 2 s for an answer: twice a stall that gateways were seen to make
+POLL_INTERVAL = 10_000  # 1 s between two readings: the module's bucket of time
+TAKEOVER_TIMEOUT = 40_000  # 4 s of silence: three readings missed, and one to spare
+ANSWER_TIMEOUT = 20_000  # 2 s for an answer: twice a stall that gateways were seen to make
 HOMING = 100_000  # 10 s: longer than a manager's start takes, so that a flapping one takes nothing back
 
 
-def spans(poll: int) -> tuple[int, int]:
+def lease_and_settle_times(poll: int) -> tuple[int, int]:
     """How long a reading is believed, and how long a claim settles, for readings a poll apart.
 
     A reading outlives one poll and a half, so that one late answer costs nothing; a claim settles later
@@ -83,12 +83,12 @@
     return poll * 3 // 2, poll * 7 // 4
 
 
-class Holding:
+class HolderElection:
     """One manager's view of one gateway.
 
     takeover, settle and lease are in tenths of a millisecond; settle must exceed the holder's longest pause
     between two readings, lease is the time for which the last reading of the own word allows sending;
-    highest is an epoch that was in use before, as far as that is known.
+    highest_epoch is an epoch that was in use before, as far as that is known.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         takeover: int,
         settle: int,
         lease: int,
-        highest: int = 0,
+        highest_epoch: int = 0,
     ) -> None:
         self._manager, self._region, self._home = manager, region, region == gateway_region
         self._gateway_region, self._takeover, self._settle, self._lease = (
@@ -109,7 +109,7 @@
             settle,
             lease,
         )
-        self.stand, self.epoch, self._beat, self._highest = Stand.AWAY, 0, 0, highest
+        self.state, self.epoch, self._beat, self._highest = HolderState.AWAY, 0, 0, highest_epoch
         self._seen: Word | None = None
         self._since = self._claimed = self._confirmed = self._watched = 0
 
@@ -119,7 +119,7 @@
 
     def may_send(self, now: int) -> bool:
         """Whether orders may go out: held, and seen to be so a short while ago."""
-        return self.stand is Stand.HOLDING and now <= self._confirmed + self._lease
+        return self.state is HolderState.HOLDING and now <= self._confirmed + self._lease
 
     def lost(self) -> Effect:
         return self._turn(Sign.LOST, 0)
@@ -128,8 +128,8 @@
         """A reading of the variable that was asked for at `asked` and came at `now`."""
         if now - asked > self._lease:
             return Effect.NONE  # the manager stood still meanwhile: what it read may be long gone
-        if self.stand is Stand.AWAY:
-            self.stand, self._seen, self._since, self._watched = Stand.WATCHING, word, now, now
+        if self.state is HolderState.AWAY:
+            self.state, self._seen, self._since, self._watched = HolderState.WATCHING, word, now, now
         if word != self._seen:
             self._seen, self._since = word, now
         self._highest = max(self._highest, word.epoch if word else 0)
@@ -142,14 +142,14 @@
         still = now - self._since >= self._takeover
         if word is None:
             # One of another region leaves it to those of its own for a while.
-            return Sign.FREE if self._home or still or self.stand is not Stand.WATCHING else Sign.OTHERS
+            return Sign.FREE if self._home or still or self.state is not HolderState.WATCHING else Sign.OTHERS
         if word.manager == self._manager:
-            if self.stand in (Stand.CLAIMING, Stand.HOLDING) and word.epoch > self.epoch:
+            if self.state in (HolderState.CLAIMING, HolderState.HOLDING) and word.epoch > self.epoch:
                 return Sign.REPLACED
-            if self.stand is Stand.WATCHING or word.epoch != self.epoch:
+            if self.state is HolderState.WATCHING or word.epoch != self.epoch:
                 return Sign.FREE  # of an earlier life of this manager: nobody else holds it
             return Sign.SETTLED if now - self._claimed >= self._settle else Sign.MINE
-        if self.stand in (Stand.CLAIMING, Stand.HOLDING) and word.epoch < self.epoch:
+        if self.state in (HolderState.CLAIMING, HolderState.HOLDING) and word.epoch < self.epoch:
             return Sign.STALE
         if still:
             return Sign.SILENT
@@ -157,7 +157,7 @@
         return Sign.FOREIGN if foreign else Sign.OTHERS
 
     def _turn(self, sign: Sign, now: int) -> Effect:
-        self.stand, effect, keep = STANDS[self.stand, sign]
+        self.state, effect, keep = TRANSITIONS[self.state, sign]
         keep(self, now)
         return effect
 
@@ -175,29 +175,32 @@
         self._since = self._watched = now
 
 
-_Row = tuple[Stand, Effect, Callable[[Holding, int], None]]
-STANDS: dict[tuple[Stand, Sign], _Row] = {
-    **{(stand, Sign.LOST): (Stand.AWAY, Effect.NONE, Holding._nothing) for stand in Stand},
-    (Stand.HOLDING, Sign.LOST): (Stand.AWAY, Effect.END, Holding._nothing),
-    (Stand.WATCHING, Sign.FREE): (Stand.CLAIMING, Effect.CLAIM, Holding._claim),
-    (Stand.WATCHING, Sign.SILENT): (Stand.CLAIMING, Effect.CLAIM, Holding._claim),
-    (Stand.WATCHING, Sign.FOREIGN): (Stand.CLAIMING, Effect.CLAIM, Holding._claim),
-    (Stand.WATCHING, Sign.OTHERS): (Stand.WATCHING, Effect.NONE, Holding._nothing),
-    (Stand.CLAIMING, Sign.FREE): (Stand.CLAIMING, Effect.CLAIM, Holding._claim),
-    (Stand.CLAIMING, Sign.MINE): (Stand.CLAIMING, Effect.NONE, Holding._nothing),
-    (Stand.CLAIMING, Sign.SETTLED): (Stand.HOLDING, Effect.BEGIN, Holding._next_beat),
-    (Stand.CLAIMING, Sign.OTHERS): (Stand.WATCHING, Effect.NONE, Holding._watch),
-    (Stand.CLAIMING, Sign.SILENT): (Stand.WATCHING, Effect.NONE, Holding._watch),
-    (Stand.CLAIMING, Sign.FOREIGN): (Stand.WATCHING, Effect.NONE, Holding._watch),
-    (Stand.CLAIMING, Sign.STALE): (Stand.CLAIMING, Effect.CLAIM, Holding._claim),
-    (Stand.HOLDING, Sign.FREE): (Stand.CLAIMING, Effect.END_CLAIM, Holding._claim),
-    (Stand.HOLDING, Sign.MINE): (Stand.HOLDING, Effect.BEAT, Holding._next_beat),
-    (Stand.HOLDING, Sign.SETTLED): (Stand.HOLDING, Effect.BEAT, Holding._next_beat),
-    (Stand.HOLDING, Sign.OTHERS): (Stand.WATCHING, Effect.END, Holding._watch),
-    (Stand.HOLDING, Sign.SILENT): (Stand.WATCHING, Effect.END, Holding._watch),
-    (Stand.HOLDING, Sign.FOREIGN): (Stand.WATCHING, Effect.END, Holding._watch),
-    (Stand.HOLDING, Sign.STALE): (Stand.HOLDING, Effect.REPAIR, Holding._next_beat),
-    (Stand.CLAIMING, Sign.REPLACED): (Stand.REPLACED, Effect.END, Holding._nothing),
-    (Stand.HOLDING, Sign.REPLACED): (Stand.REPLACED, Effect.END, Holding._nothing),
-    **{(Stand.REPLACED, sign): (Stand.REPLACED, Effect.NONE, Holding._nothing) for sign in Sign},
+_Row = tuple[HolderState, Effect, Callable[[HolderElection, int], None]]
+TRANSITIONS: dict[tuple[HolderState, Sign], _Row] = {
+    **{(state, Sign.LOST): (HolderState.AWAY, Effect.NONE, HolderElection._nothing) for state in HolderState},
+    (HolderState.HOLDING, Sign.LOST): (HolderState.AWAY, Effect.END, HolderElection._nothing),
+    (HolderState.WATCHING, Sign.FREE): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
+    (HolderState.WATCHING, Sign.SILENT): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
+    (HolderState.WATCHING, Sign.FOREIGN): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
+    (HolderState.WATCHING, Sign.OTHERS): (HolderState.WATCHING, Effect.NONE, HolderElection._nothing),
+    (HolderState.CLAIMING, Sign.FREE): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
+    (HolderState.CLAIMING, Sign.MINE): (HolderState.CLAIMING, Effect.NONE, HolderElection._nothing),
+    (HolderState.CLAIMING, Sign.SETTLED): (HolderState.HOLDING, Effect.BEGIN, HolderElection._next_beat),
+    (HolderState.CLAIMING, Sign.OTHERS): (HolderState.WATCHING, Effect.NONE, HolderElection._watch),
+    (HolderState.CLAIMING, Sign.SILENT): (HolderState.WATCHING, Effect.NONE, HolderElection._watch),
+    (HolderState.CLAIMING, Sign.FOREIGN): (HolderState.WATCHING, Effect.NONE, HolderElection._watch),
+    (HolderState.CLAIMING, Sign.STALE): (HolderState.CLAIMING, Effect.CLAIM, HolderElection._claim),
+    (HolderState.HOLDING, Sign.FREE): (HolderState.CLAIMING, Effect.END_CLAIM, HolderElection._claim),
+    (HolderState.HOLDING, Sign.MINE): (HolderState.HOLDING, Effect.BEAT, HolderElection._next_beat),
+    (HolderState.HOLDING, Sign.SETTLED): (HolderState.HOLDING, Effect.BEAT, HolderElection._next_beat),
+    (HolderState.HOLDING, Sign.OTHERS): (HolderState.WATCHING, Effect.END, HolderElection._watch),
+    (HolderState.HOLDING, Sign.SILENT): (HolderState.WATCHING, Effect.END, HolderElection._watch),
+    (HolderState.HOLDING, Sign.FOREIGN): (HolderState.WATCHING, Effect.END, HolderElection._watch),
+    (HolderState.HOLDING, Sign.STALE): (HolderState.HOLDING, Effect.REPAIR, HolderElection._next_beat),
+    (HolderState.CLAIMING, Sign.REPLACED): (HolderState.REPLACED, Effect.END, HolderElection._nothing),
+    (HolderState.HOLDING, Sign.REPLACED): (HolderState.REPLACED, Effect.END, HolderElection._nothing),
+    **{
+        (HolderState.REPLACED, sign): (HolderState.REPLACED, Effect.NONE, HolderElection._nothing)
+        for sign in Sign
+    },
 }
--- a/rushladder/gateways/meter.py
+++ b/rushladder/gateways/meter.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 SAMPLES = 1024  # over which the sliding mean runs: the guide's figure
 SETTLED = ("hrsp_1xx", "hrsp_2xx", "hrsp_3xx", "hrsp_4xx")
@@ -126,7 +126,10 @@
         restarted = (
             not first
             and self._birth is not None
-            and (birth.pid != self._birth.pid or abs(birth.started - self._birth.started) > 2 * TENTHS)
+            and (
+                birth.pid != self._birth.pid
+                or abs(birth.started - self._birth.started) > 2 * TENTHS_PER_SECOND
+            )
         )
         before = {} if restarted else self._rows
         span = 0 if first else now - max(self._read, birth.started if restarted else 0)
--- a/rushladder/guard/admission.py
+++ b/rushladder/guard/admission.py
@@ -15,8 +15,8 @@
 
 import attrs
 
-from rushladder.guard.book import Book, Pool, Server, open_to
-from rushladder.interface import Repeat, Retry
+from rushladder.guard.projection import LoadProjection, Pool, Server, open_to
+from rushladder.interface import Idempotency, Retry
 
 HUGE = 1e9  # of a weight: far above any sum of listed sizes
 FRESH = 100_000  # 10 s: three polls and a cycle of reports; a demand heard before that tells little of now
@@ -110,9 +110,14 @@
     """
 
     def __init__(
-        self, book: Book, *, takes_over: float = 0.6, headroom: float = 1.25, connections_per_txn: float = 0.5
+        self,
+        projection: LoadProjection,
+        *,
+        takes_over: float = 0.6,
+        headroom: float = 1.25,
+        connections_per_txn: float = 0.5,
     ) -> None:
-        self.book, self._takes_over, self._headroom = book, takes_over, headroom
+        self.projection, self._takes_over, self._headroom = projection, takes_over, headroom
         self._held = connections_per_txn
         self.lenient = False  # lets through what it can read: for measuring what the guard is worth
         self.demand_at: int | None = None  # when demand was last heard; None: never
@@ -128,7 +133,7 @@
             closes = tuple(part for part in group if isinstance(part, Close))
             rest = tuple(part for part in group if not isinstance(part, Close))
             if closes:
-                unknown = [part for part in closes if part.server not in self.book.servers]
+                unknown = [part for part in closes if part.server not in self.projection.servers]
                 for part in unknown:
                     refused.append(
                         Refusal((part,), part, Reason.UNKNOWN, f"no server {part.server}", "a listed one")
@@ -148,17 +153,18 @@
 
     def _close(self, parts: Sequence[Close], now: int) -> list[Line]:
         for part in parts:
-            self.book.open(self.book.servers[part.server], False)
+            self.projection.set_ready(self.projection.servers[part.server], False)
         fills = list[Line]()
-        for pool in [pool for pool in self.book.touched_pools if not pool.many and pool.lines]:
+        for pool in [pool for pool in self.projection.touched_pools if not pool.many and pool.lines]:
             some = sorted(
-                self.book.candidates(pool, now), key=lambda one: (one.zone != pool.zone, one.load, one.name)
+                self.projection.candidates(pool, now),
+                key=lambda one: (one.zone != pool.zone, one.load, one.name),
             )
             weight = max(pool.lines.values())
             for server in some[:3]:  # three share what one might not bear
-                self.book.weigh(pool, server, weight)
+                self.projection.set_weight(pool, server, weight)
                 fills.append(Line(pool.name, server.name, weight))
-        self.book.keep()
+        self.projection.commit()
         return fills
 
     # Everything else.
@@ -175,9 +181,9 @@
                 self._apply(part)
             found = None if self.lenient else self._look(group, before, now, trusted)
         if found is None:
-            (self.book.keep if keep else self.book.undo)()
+            (self.projection.commit if keep else self.projection.rollback)()
             return None
-        self.book.undo()
+        self.projection.rollback()
         part, (reason, what, least) = found
         return Refusal(group, part, reason, what, least)
 
@@ -198,13 +204,15 @@
         return None
 
     def _pools(self, group: Group) -> dict[Pool, None]:
-        return dict.fromkeys(self.book.pools[part.pool] for part in group if isinstance(part, Line))
+        return dict.fromkeys(self.projection.pools[part.pool] for part in group if isinstance(part, Line))
 
     def _apply(self, part: Part) -> None:
         if isinstance(part, Line):
-            self.book.weigh(self.book.pools[part.pool], self.book.servers[part.server], part.weight)
+            self.projection.set_weight(
+                self.projection.pools[part.pool], self.projection.servers[part.server], part.weight
+            )
         elif isinstance(part, Open):
-            self.book.open(self.book.servers[part.server], True)
+            self.projection.set_ready(self.projection.servers[part.server], True)
 
     def _top(self, pool: Pool) -> tuple[int, float]:
         return pool.many, max((pool.share(server) for server in pool.lines), default=0.0)
@@ -219,7 +227,7 @@
                 if found := look(self, pool, many, top, now):
                     return self._blame(group, pool), found
         stale = not trusted and (self.demand_at is None or now - self.demand_at > FRESH)
-        for server, load in list(self.book.touched_servers.items()):
+        for server, load in list(self.projection.touched_servers.items()):
             if server.load <= load * 1.001 + 1e-9:
                 continue  # no more than before: nothing is refused for what was bad already
             if stale and server.limit:
@@ -238,7 +246,7 @@
     def _eases(self, now: int) -> bool:
         """Whether the worst of the servers touched is no worse off than the worst was before: where all are
         over their limits, moving load between them is what the module is there for."""
-        touched = [(server, load) for server, load in self.book.touched_servers.items() if server.limit]
+        touched = [(server, load) for server, load in self.projection.touched_servers.items() if server.limit]
         after = max((server.load / (server.limit * server.ramp(now)) for server, _ in touched), default=0.0)
         return after <= 1.001 * max(
             (load / (server.limit * server.ramp(now)) for server, load in touched), default=0.0
@@ -257,9 +265,9 @@
 
     def _known(self, part: Part) -> Found:
         pool, server = getattr(part, "pool", None), getattr(part, "server", None)
-        if pool is not None and pool not in self.book.pools:
+        if pool is not None and pool not in self.projection.pools:
             return Reason.UNKNOWN, f"no pool {pool}", "one of those that show table lists"
-        if server is not None and server not in self.book.servers:
+        if server is not None and server not in self.projection.servers:
             return Reason.UNKNOWN, f"no server {server}", "a listed one"
         return None
 
@@ -276,7 +284,7 @@
     def _open(self, part: Part) -> Found:
         if not isinstance(part, Line) or not part.weight:
             return None
-        pool, server = self.book.pools[part.pool], self.book.servers[part.server]
+        pool, server = self.projection.pools[part.pool], self.projection.servers[part.server]
         if open_to(pool.product, server, pool.zone):
             return None
         return (
@@ -288,8 +296,8 @@
     def _further(self, part: Part) -> Found:
         if not isinstance(part, Gate) or part.retry <= Retry.UNSENT:
             return None
-        product = self.book.pools[part.pool].product
-        if product.repeat is Repeat.ONCE_ONLY:
+        product = self.projection.pools[part.pool].product
+        if product.idempotency is Idempotency.ONCE_ONLY:
             return (
                 Reason.FURTHER_TRY,
                 f"{product.name} must never run twice",
@@ -300,7 +308,7 @@
     # What is looked at in a pool and at a server once the group is applied.
 
     def _empty(self, pool: Pool, many: int, top: float, now: int) -> Found:
-        if pool.many or not any(self.book.candidates(pool, now)):
+        if pool.many or not any(self.projection.candidates(pool, now)):
             return None
         return (
             Reason.EMPTY_POOL,
@@ -310,7 +318,10 @@
 
     def _over(self, pool: Pool, many: int, top: float, now: int) -> Found:
         share = self._top(pool)[1]
-        if share <= max(self._takes_over, top * 1.01) or sum(1 for _ in self.book.candidates(pool, now)) < 2:
+        if (
+            share <= max(self._takes_over, top * 1.01)
+            or sum(1 for _ in self.projection.candidates(pool, now)) < 2
+        ):
             return None
         return (
             Reason.TAKES_OVER,
--- a/rushladder/guard/history.py
+++ b/rushladder/guard/history.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class Refused:
+class RefusedChange:
     at: int
     who: str
     what: str
@@ -39,21 +39,21 @@
     def __init__(self) -> None:
         self._versions = {0: Version(0, 0, "start", "as the module decides", 0, {})}
         self.current = 0
-        self.refused = deque[Refused](maxlen=KEPT)
-        self._last = self.refusals = 0
+        self.refused = deque[RefusedChange](maxlen=KEPT)
+        self._last = self.refusal_count = 0
 
-    def restore(self, versions: Iterable[Version], stands: int, refused: Iterable[Refused]) -> None:
+    def restore(self, versions: Iterable[Version], stands: int, refused: Iterable[RefusedChange]) -> None:
         """What was kept over a restart. One that is said to stand and is not there leaves the start standing:
         what operators changed may be lost, but is never made up."""
         self._versions.update((version.number, version) for version in versions)
         self.current = stands if stands in self._versions else 0
         self._last = max(self._versions)
         self.refused.extend(refused)
-        self.refusals = len(self.refused)
+        self.refusal_count = len(self.refused)
 
-    def refused_since(self, many: int) -> list[Refused]:
+    def refused_since(self, many: int) -> list[RefusedChange]:
         """Those after the first so many, as far as they are kept."""
-        new = min(self.refusals - many, len(self.refused))
+        new = min(self.refusal_count - many, len(self.refused))
         return list(self.refused)[len(self.refused) - new :]
 
     def __getitem__(self, number: int) -> Version:
@@ -84,8 +84,8 @@
         return self._versions[self.current]
 
     def refuse(self, who: str, what: str, now: int) -> None:
-        self.refused.append(Refused(now, who, what))
-        self.refusals += 1
+        self.refused.append(RefusedChange(now, who, what))
+        self.refusal_count += 1
 
     def diff(self, one: int, other: int) -> list[tuple[Key, float, float]]:
         """The lines whose factors differ: product and server, before and after. Raises KeyError."""
--- a/rushladder/guard/allotment.py
+++ b/rushladder/guard/limit_shares.py
@@ -14,7 +14,7 @@
 SPILL = 0.25
 
 
-def allotment(
+def limit_shares(
     servers: Mapping[str, str], gateways: Sequence[tuple[str, str, float]], held: frozenset[str]
 ) -> dict[str, float]:
     """The part for each server. servers: name to region; gateways: name, region and usual rate; held: the
--- a/rushladder/guard/book.py
+++ b/rushladder/guard/projection.py
@@ -70,7 +70,7 @@
         return {server.name: self.demand * self.share(server) for server in self.lines}
 
 
-class Book:
+class LoadProjection:
     """All pools and servers, with a journal of what was changed since the last `keep`."""
 
     def __init__(self) -> None:
@@ -94,14 +94,14 @@
             for server in list(pool.lines):
                 self._part(pool, server, 0.0)
 
-    def demand(self, pool: Pool, rate: float) -> None:
+    def set_demand(self, pool: Pool, rate: float) -> None:
         """What comes to a pool now. Costs its lines."""
         pool.demand = rate
         self._spread(pool)
 
     # Changes, each of which can be taken back.
 
-    def weigh(self, pool: Pool, server: Server, weight: float) -> None:
+    def set_weight(self, pool: Pool, server: Server, weight: float) -> None:
         """Sets a line; 0 removes it."""
         before = pool.lines.get(server, 0.0)
         if before == weight:
@@ -109,20 +109,20 @@
         self._journal.append(lambda: self._weigh(pool, server, before))
         self._weigh(pool, server, weight)
 
-    def open(self, server: Server, ready: bool) -> None:
+    def set_ready(self, server: Server, ready: bool) -> None:
         """Whether a server can be picked."""
         if server.ready is not ready:
             self._journal.append(lambda: self._open(server, not ready))
             self._open(server, ready)
 
-    def undo(self) -> None:
+    def rollback(self) -> None:
         """Takes back everything since the last `keep`, the latest first."""
         while self._journal:
             self._journal.pop()()
         self.touched_pools.clear()
         self.touched_servers.clear()
 
-    def keep(self) -> None:
+    def commit(self) -> None:
         self._journal.clear()
         self.touched_pools.clear()
         self.touched_servers.clear()
--- a/rushladder/guard/warden.py
+++ b/rushladder/guard/table_guard.py
@@ -14,7 +14,7 @@
 import attrs
 
 from rushladder.guard.admission import Admission, Close, Gate, Line, Refusal
-from rushladder.guard.book import Book, Pool, Server
+from rushladder.guard.projection import LoadProjection, Pool, Server
 from rushladder.guard.history import History, Key, Version
 from rushladder.guard.waves import Arm, Effect, Stage, Wave
 from rushladder.interface import Product
@@ -33,19 +33,19 @@
     bad: float = 0.0
 
 
-class Warden:
+class TableGuard:
     """The guard of one manager. Bounded by its servers, tables and gateways."""
 
     def __init__(self, draw: Callable[[], float], guard: str = "on") -> None:
-        self.book, self.history = Book(), History()
-        self.admission = Admission(self.book)
+        self.projection, self.history = LoadProjection(), History()
+        self.admission = Admission(self.projection)
         self.admission.lenient, self._waves = guard == "off", guard == "on"
         self.wave: Wave | None = None
         self._draw, self._before = draw, dict[str, _Before]()
         self._plain = dict[str, dict[str, float]]()  # pool -> server -> weight as the module decided it
         self._stated, self._parts = dict[str, float](), dict[str, float]()
         self._gone = dict[str, None]()  # off the list, and not yet out of every table
-        self.faults = list[str]()  # own orders that were refused, since last taken
+        self.order_errors = list[str]()  # own orders that were refused, since last taken
 
     # Facts.
 
@@ -63,22 +63,22 @@
         cold_from: float,
     ) -> None:
         """A server as it is listed and withdrawn now. One that closes is a drain, which always passes."""
-        known = self.book.servers.get(name)
+        known = self.projection.servers.get(name)
         if known is None or (known.zone, known.model) != (zone, model):
             known = Server(name, zone, model)
-            self.book.add_server(known)
+            self.projection.add_server(known)
         self._gone.pop(name, None)
         self._stated[name] = limit
         known.limit, known.connections = limit * self._parts.get(name, 1.0), connections
         known.cold_from, known.cold_time = cold_from, max(1, cold_time)
         known.warm_at = started_at + cold_time if started_at else 0
         if known.ready is not ready:
-            self.book.open(known, ready)
-            self.book.keep()
+            self.projection.set_ready(known, ready)
+            self.projection.commit()
 
     def forget(self, name: str) -> None:
         """A server that is off the list: its lines go as the tables change."""
-        known = self.book.servers.get(name)
+        known = self.projection.servers.get(name)
         if known is not None:
             self._gone[name] = None
             if known.ready:
@@ -86,38 +86,38 @@
 
     def _sweep(self) -> None:
         """Drops what is off the list once no table names it: names come and go for years."""
-        for name in [name for name in self._gone if not self.book.servers[name].parts]:
-            del self.book.servers[name], self._gone[name]
+        for name in [name for name in self._gone if not self.projection.servers[name].parts]:
+            del self.projection.servers[name], self._gone[name]
             self._stated.pop(name, None)
             self._parts.pop(name, None)
 
     def pool(self, table: str, product: Product, zone: str) -> Pool:
         name = f"{product.name}@{table}"
-        found = self.book.pools.get(name)
+        found = self.projection.pools.get(name)
         if found is None:
             found = Pool(name, product, zone, 0)
-            self.book.add_pool(found)
+            self.projection.add_pool(found)
         return found
 
     def demand(self, table: str, product: Product, zone: str, rate: float, now: int) -> None:
         """Txns a second that come to a table's gateways now."""
         pool = self.pool(table, product, zone)
         if not math.isclose(pool.demand, rate, rel_tol=0.02, abs_tol=0.01):
-            self.book.demand(pool, rate)
-            self.book.keep()
+            self.projection.set_demand(pool, rate)
+            self.projection.commit()
         self.admission.demand_at = now
 
     def allot(self, parts: Mapping[str, float]) -> None:
         """Which part of each server's stated limit this manager may use: what it is safe to use whatever
         others do."""
         self._parts = dict(parts)
-        for name, server in self.book.servers.items():
+        for name, server in self.projection.servers.items():
             server.limit = self._stated.get(name, 0.0) * self._parts.get(name, 1.0)
 
     def _outgrown(self) -> str:
         """A server that an operator's change sends more than its limit by now, as demand has grown since."""
         for product, name in self._version(None).factors:
-            server = self.book.servers.get(name)
+            server = self.projection.servers.get(name)
             if server is not None and server.limit and server.load > server.limit:
                 figures = f"{server.load:.1f} txns a second by now, over its {server.limit:.1f}"
                 return f"{name} is sent {figures} ({product})"
@@ -141,10 +141,10 @@
             return None
         verdict = self.admission.judge([tuple(parts)], now, trusted=True)
         if verdict.refused:
-            self.faults.append(
+            self.order_errors.append(
                 f"own order for table {table} refused, the last good one stays: {verdict.refused[0]}"
             )
-            del self.faults[:-20]
+            del self.order_errors[:-20]
             return verdict.refused[0]
         for product in products:
             self._plain[f"{product.name}@{table}"] = dict(lines)
@@ -156,7 +156,7 @@
         pool = self.pool(table, product, zone)
         verdict = self.admission.judge([(Gate(pool.name, level, retry),)], now, trusted=True)
         if verdict.refused:
-            self.faults.append(f"own level for {pool.name} refused: {verdict.refused[0]}")
+            self.order_errors.append(f"own level for {pool.name} refused: {verdict.refused[0]}")
         return verdict.refused[0] if verdict.refused else None
 
     # Factors.
@@ -170,7 +170,7 @@
     def version_of(self, gateway: str) -> int:
         """Which version a gateway holds: while a wave is out, only its gateways have the new one."""
         wave = self.wave
-        if wave is None or wave.over or gateway in wave.changed:
+        if wave is None or wave.finished or gateway in wave.changed:
             return self.history.current
         return self.history[wave.number].parent
 
@@ -181,7 +181,7 @@
 
         gateways: all that are held. A change that moves more than a part of the traffic goes out in waves.
         """
-        if self.wave is not None and not self.wave.over:
+        if self.wave is not None and not self.wave.finished:
             raise self._denied(
                 who,
                 f"version {self.wave.number} is still on its way ({self.wave.stage.value}); wait for "
@@ -189,13 +189,13 @@
                 now,
             )
         seen = set[Key]()
-        products = {pool.product.name for pool in self.book.pools.values()}
+        products = {pool.product.name for pool in self.projection.pools.values()}
         for key, factor in changes:
             if key in seen:
                 raise self._denied(
                     who, f"duplicate: {'/'.join(key)} stands twice; one entry would be accepted", now
                 )
-            if key[0] not in products or key[1] not in self.book.servers:
+            if key[0] not in products or key[1] not in self.projection.servers:
                 raise self._denied(
                     who, f"unknown: {'/'.join(key)}; a product and server in use would be accepted", now
                 )
@@ -209,10 +209,10 @@
 
     def resize(self, who: str, server: str, ratio: float, now: int) -> None:
         """A listed size is to change so many times: judged as if each line followed it. Raises Denied."""
-        known = self.book.servers.get(server)
+        known = self.projection.servers.get(server)
         lines = tuple(
             Line(pool.name, server, weight * ratio)
-            for pool in self.book.pools.values()
+            for pool in self.projection.pools.values()
             if known is not None and (weight := pool.lines.get(known, 0.0)) and not math.isclose(ratio, 1.0)
         )
         refusal = self.admission.test(lines, now) if lines else None
@@ -221,7 +221,7 @@
 
     def rollback(self, who: str, number: int, gateways: Sequence[str], now: int) -> Version:
         """Back to a version; judged like any change, unless it is the one before a wave that is still out."""
-        if self.wave is not None and not self.wave.over:
+        if self.wave is not None and not self.wave.finished:
             if number != self.history[self.wave.number].parent:
                 raise self._denied(
                     who, f"version {self.wave.number} is still on its way; roll back to its parent first", now
@@ -251,23 +251,23 @@
 
     def _pools_of(self, factors: Mapping[Key, float]) -> dict[str, Pool]:
         changed = {key[0] for key in {*factors, *self._version(None).factors}}
-        return {name: pool for name, pool in self.book.pools.items() if pool.product.name in changed}
+        return {name: pool for name, pool in self.projection.pools.items() if pool.product.name in changed}
 
     def _lines(self, factors: Mapping[Key, float]) -> tuple[Line, ...]:
         found = list[Line]()
         for name, pool in self._pools_of(factors).items():
             for server, weight in self._plain.get(name, {}).items():
                 wanted = weight * factors.get((pool.product.name, server), 1.0)
-                if wanted != pool.lines.get(self.book.servers[server], 0.0):
+                if wanted != pool.lines.get(self.projection.servers[server], 0.0):
                     found.append(Line(name, server, wanted))
         return tuple(found)
 
     def _moved(self, before: Mapping[str, Mapping[str, float]]) -> float:
         """The part of all txns that go elsewhere than before."""
-        total = sum(pool.demand for pool in self.book.pools.values()) or 1.0
+        total = sum(pool.demand for pool in self.projection.pools.values()) or 1.0
         moved = 0.0
         for name, parts in before.items():
-            after = self.book.pools[name].parts_now()
+            after = self.projection.pools[name].parts_now()
             moved += (
                 sum(abs(after.get(server, 0.0) - parts.get(server, 0.0)) for server in {*after, *parts}) / 2
             )
@@ -284,22 +284,22 @@
         self._sweep()
         for name, arms in met.items():
             before = self._before.setdefault(name, _Before())
-            if self.wave is None or self.wave.over:
+            if self.wave is None or self.wave.finished:
                 before.many = FADES * before.many + sum(arm.many for arm in arms)
                 before.bad = FADES * before.bad + sum(arm.bad for arm in arms)
         wave = self.wave
-        if wave is None or wave.over:
+        if wave is None or wave.finished:
             return Effect.NONE
         changed = [arm for name in wave.changed for arm in met.get(name, ())]
         others = [arm for name, arms in met.items() if name not in wave.changed for arm in arms]
         effect = wave.period(changed, others, now)
-        if not wave.over and (outgrown := self._outgrown()):
+        if not wave.finished and (outgrown := self._outgrown()):
             self._undo(f"taken back: {outgrown}", now)
             return Effect.UNDO
         if effect is Effect.UNDO:
             self._undo(
-                f"taken back: {wave.watch.sureness():.1%} sure that it is worse"
-                if wave.watch.ratio > 0
+                f"taken back: {wave.test.probability_worse():.1%} sure that it is worse"
+                if wave.test.ratio > 0
                 else "taken back: not sure for too long",
                 now,
             )
@@ -312,7 +312,7 @@
 
     def left(self, gateway: str) -> None:
         self._before.pop(gateway, None)
-        if self.wave is not None and not self.wave.over:
+        if self.wave is not None and not self.wave.finished:
             self.wave.lost(gateway)
 
     def _undo(self, why: str, now: int) -> None:
@@ -320,9 +320,9 @@
         self.history.back(self.wave.number, why)
         self.wave.stage = Stage.UNDONE
         # What stood before is put back without being judged: a change that is taken back may not be kept out.
-        for name, pool in self.book.pools.items():
+        for name, pool in self.projection.pools.items():
             for server, weight in self._plain.get(name, {}).items():
-                self.book.weigh(
-                    pool, self.book.servers[server], weight * self.factor(pool.product.name, server)
+                self.projection.set_weight(
+                    pool, self.projection.servers[server], weight * self.factor(pool.product.name, server)
                 )
-        self.book.keep()
+        self.projection.commit()
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -68,11 +68,11 @@
         return self.voided + (settled * math.exp(-self.sla_time / mean) if mean > 0 else 0.0)
 
 
-class Watch:
+class SequentialTest:
     """Wald's sequential test of one stage."""
 
     def __init__(self) -> None:
-        self.ratio, self.seen = 0.0, 0.0
+        self.ratio, self.txns = 0.0, 0.0
 
     def period(self, changed: Sequence[Arm], others: Sequence[Arm], before: float) -> Sign:
         """One period of the arms, by product; `before`: the changed gateways' part of bad txns before the
@@ -83,12 +83,12 @@
         like = min(0.9, max(LEAST, rate, before))  # no better than the others are now, nor than it was
         worse = min(0.95, like + max(HARM, 0.5 * like))
         self.ratio += bad * math.log(worse / like) + (many - bad) * math.log((1 - worse) / (1 - like))
-        self.seen += many
+        self.txns += many
         if self.ratio >= math.log((1 - WRONG) / WRONG):
             return Sign.WORSE
         return Sign.FINE if self.ratio <= math.log(WRONG / (1 - WRONG)) else Sign.UNSURE
 
-    def sureness(self) -> float:
+    def probability_worse(self) -> float:
         """The chance that the changed gateways are worse, if both were as likely at the start."""
         return 1 / (1 + math.exp(-max(-700.0, min(700.0, self.ratio))))
 
@@ -98,7 +98,7 @@
 
     def __init__(self, number: int, gateways: Sequence[str], before: float, now: int) -> None:
         self.number, self._gateways, self._before = number, list(gateways), before
-        self.stage, self._since, self.watch = Stage.FIRST, now, Watch()
+        self.stage, self._since, self.test = Stage.FIRST, now, SequentialTest()
         self._many = self._size(0)
 
     def _size(self, step: int) -> int:
@@ -110,11 +110,11 @@
         return self._gateways[: self._many]
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         return self.stage in (Stage.DONE, Stage.UNDONE)
 
     def period(self, changed: Sequence[Arm], others: Sequence[Arm], now: int) -> Effect:
-        sign = self.watch.period(changed, others, self._before)
+        sign = self.test.period(changed, others, self._before)
         if sign is Sign.UNSURE and now - self._since >= LONG:
             sign = Sign.LONG
         return self._turn(sign, now)
@@ -131,7 +131,7 @@
         self.stage, effect, step = STAGES[self.stage, sign]
         step(self)
         if self.stage is not before:
-            self._since, self.watch = now, Watch() if not self.over else self.watch
+            self._since, self.test = now, SequentialTest() if not self.finished else self.test
         return effect
 
     def _stay(self) -> None:
--- a/rushladder/intake/agent.py
+++ b/rushladder/intake/agent.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Agent:
+class AgentStatus:
     """What one answer said; None where it said nothing. weight: part of the listed one."""
 
     weight: float | None = None
@@ -27,14 +27,14 @@
     why: str = ""
 
 
-class Unclear(ValueError):
+class InvalidAgentAnswer(ValueError):
     """An answer that holds a word the manual does not."""
 
 
-def read_agent(data: bytes) -> Agent:
+def read_agent(data: bytes) -> AgentStatus:
     """The first line of an answer. Raises Unclear, with the word; nothing of such an answer counts."""
     if len(data) > LONGEST:
-        raise Unclear(f"an answer of {len(data)} bytes; {LONGEST} are allowed")
+        raise InvalidAgentAnswer(f"an answer of {len(data)} bytes; {LONGEST} are allowed")
     line = re.split(rb"[\r\n]", data, maxsplit=1)[0].decode(errors="replace")
     text, _, why = line.partition("#")
     said: dict[str, object] = {"why": why.strip()}
@@ -51,5 +51,5 @@
         elif re.fullmatch(r"maxconn:\d{1,7}", low):
             said["connections"] = int(low[8:])
         else:
-            raise Unclear(f"the word '{word[:40]}'")
-    return Agent(**said)  # type: ignore[arg-type]
+            raise InvalidAgentAnswer(f"the word '{word[:40]}'")
+    return AgentStatus(**said)  # type: ignore[arg-type]
--- a/rushladder/intake/gather.py
+++ b/rushladder/intake/datagram_buffer.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Iterator
 from typing import NamedTuple
 
-KEPT = 5  # newest datagrams of a sender in a gathering: a sender's whole burst
+MAX_PER_SENDER = 5  # newest datagrams of a sender in a gathering: a sender's whole burst
 
 
 class Gathered(NamedTuple):
@@ -21,7 +21,7 @@
     reports: list[bytes]
 
 
-class Gathering:
+class DatagramBuffer:
     """Bounded by KEPT datagrams for each address in `knows`, whatever arrives."""
 
     def __init__(self, knows: Collection[str]) -> None:
@@ -37,7 +37,7 @@
             if address not in self.knows:
                 self.strangers += 1
                 return
-            waiting = self._waiting[address] = deque(maxlen=KEPT)
+            waiting = self._waiting[address] = deque(maxlen=MAX_PER_SENDER)
         self._came[address] += 1
         waiting.append(datagram)
 
--- a/rushladder/intake/hints.py
+++ b/rushladder/intake/hints.py
@@ -92,11 +92,11 @@
         return {name: trust.hint for name, trust in self._trust.items()}
 
     @property
-    def doubt(self) -> float:
+    def prior(self) -> float:
         """What a stranger's sums of squares begin with."""
         return DOUBT
 
-    def trusts(self) -> dict[str, tuple[float, float, float, float]]:
+    def trust_sums(self) -> dict[str, tuple[float, float, float, float]]:
         """What is worth keeping of each: both, told, met and cried."""
         return {name: (one.both, one.told, one.met, one.cried) for name, one in self._trust.items()}
 
--- a/rushladder/intake/limits.py
+++ b/rushladder/intake/limits.py
@@ -10,19 +10,19 @@
 
 from enum import Enum
 
-from rushladder.structures.hitters import Hitters
+from rushladder.structures.heavy_hitters import HeavyHitters
 
 TENTHS = 10_000
 HEAVY = 64  # counters of heavy senders: a count is over by a 64th of all at the most
 
 
-class Taken(Enum):
-    YES = "taken"
-    OWN = "over its own budget"
-    ALL = "over the budget of all"
+class RateVerdict(Enum):
+    ACCEPTED = "taken"
+    OVER_SENDER_BUDGET = "over its own budget"
+    OVER_TOTAL_BUDGET = "over the budget of all"
 
 
-class Limits:
+class ReportLimits:
     """own: reports a second of one sender; burst: how many may come at once; all_: reports a second of all
     together."""
 
@@ -30,10 +30,10 @@
         self._own, self._all, self._burst = TENTHS / own, TENTHS / all_, burst
         self._times = dict[str, float]()
         self._fair, self._second, self._senders, self._before = self._own, 0, set[str](), 0
-        self.counts = dict.fromkeys(Taken, 0)
-        self.heavy = Hitters[str](HEAVY)
+        self.counts = dict.fromkeys(RateVerdict, 0)
+        self.heavy = HeavyHitters[str](HEAVY)
 
-    def take(self, sender: str, now: int) -> Taken:
+    def admit(self, sender: str, now: int) -> RateVerdict:
         """Whether a report of a known sender is to be read. Memory is bounded by the senders that are
         known."""
         if now // TENTHS != self._second:
@@ -42,10 +42,10 @@
         fair = max(self._own, self._all * max(len(self._senders), self._before))
         due = self._times.get(sender, 0.0)
         if now < due - fair * (self._burst - 1):
-            verdict = Taken.OWN if fair <= self._own else Taken.ALL
+            verdict = RateVerdict.OVER_SENDER_BUDGET if fair <= self._own else RateVerdict.OVER_TOTAL_BUDGET
             self.heavy.add(sender)
         else:
-            verdict = Taken.YES
+            verdict = RateVerdict.ACCEPTED
             self._times[sender] = max(due, now) + fair
         self.counts[verdict] += 1
         return verdict
--- a/rushladder/intake/ports.py
+++ b/rushladder/intake/ports.py
@@ -11,10 +11,10 @@
 from twisted.python.failure import Failure
 
 from rushladder.intake.agent import LONGEST as AGENT_LONGEST
-from rushladder.intake.agent import Agent, Unclear, read_agent
-from rushladder.intake.desk import LONGEST, Desk, Fate
+from rushladder.intake.agent import AgentStatus, InvalidAgentAnswer, read_agent
+from rushladder.intake.processor import MAX_REPORT_BYTES, ReportProcessor, ReportOutcome
 from rushladder.runtime.endpoint import CONNECTION_DONE
-from rushladder.timing import Clock, tenths
+from rushladder.timing import Clock, clock_tenths
 
 PAUSE = 0.2  # s that a stream over its budget is not read: TCP then slows its sender down
 
@@ -22,24 +22,24 @@
 class Stream(Int32StringReceiver):
     """Reports, each behind its length in four bytes."""
 
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_REPORT_BYTES
 
-    def __init__(self, desk: Desk, clock: Clock) -> None:
+    def __init__(self, desk: ReportProcessor, clock: Clock) -> None:
         self._desk, self._clock = desk, clock
 
     def _transport(self) -> Any:
         return self.transport
 
     def stringReceived(self, string: bytes) -> None:
-        fate = self._desk.report(self._transport().getPeer().host, string, tenths(self._clock))
-        if fate in (Fate.OVER_OWN, Fate.OVER_ALL):
+        fate = self._desk.report(self._transport().getPeer().host, string, clock_tenths(self._clock))
+        if fate in (ReportOutcome.OVER_OWN, ReportOutcome.OVER_ALL):
             self.pauseProducing()  # type: ignore[no-untyped-call]
             self._clock.callLater(PAUSE, self._again)
-        elif fate in (Fate.STRANGER, Fate.FORGED, Fate.MALFORMED):
+        elif fate in (ReportOutcome.STRANGER, ReportOutcome.FORGED, ReportOutcome.MALFORMED):
             self._transport().abortConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        self._desk.counts[Fate.OVERSIZED] += 1
+        self._desk.counts[ReportOutcome.OVERSIZED] += 1
         self._transport().abortConnection()
 
     def _again(self) -> None:
@@ -47,10 +47,10 @@
             self.resumeProducing()  # type: ignore[no-untyped-call]
 
 
-class Streams(protocol.ServerFactory):
+class ReportStreams(protocol.ServerFactory):
     """Two streams a listed server at the most, for one that restarts before its old stream is noticed."""
 
-    def __init__(self, desk: Desk, clock: Clock) -> None:
+    def __init__(self, desk: ReportProcessor, clock: Clock) -> None:
         self._desk, self._clock, self._open = desk, clock, 0
 
     def buildProtocol(self, addr: Any) -> protocol.Protocol | None:
@@ -72,7 +72,7 @@
     """One question to a server's agent port: it answers a line and closes."""
 
     def __init__(self) -> None:
-        self.answer: Deferred[Agent] = Deferred()
+        self.answer: Deferred[AgentStatus] = Deferred()
         self._data = b""
 
     def dataReceived(self, data: bytes) -> None:
@@ -90,5 +90,5 @@
             return
         try:
             self.answer.callback(read_agent(self._data))
-        except Unclear as unclear:
+        except InvalidAgentAnswer as unclear:
             self.answer.errback(unclear)
--- a/rushladder/intake/readings.py
+++ b/rushladder/intake/readings.py
@@ -22,7 +22,7 @@
 DRIFT = 1.01  # and by how much faster it may run: a hundred times what a bad clock does
 
 
-class Order(Enum):
+class ReadingOutcome(Enum):
     NEW = "new"
     LATE = "late, still counted"
     REPEATED = "repeated, or too late"
@@ -38,7 +38,7 @@
     newest: int = 0
     seen: int = 0  # a bit for each of the WINDOW numbers up to the newest
     uptime: float = 0.0
-    heard: int = 0
+    last_heard: int = 0
     weight: float = 0.0
     sum: float = 0.0
     landmark: float = 0.0
@@ -49,40 +49,40 @@
         """The faded mean of the loads; 0 where there is none."""
         return self.sum / self.weight if self.weight > 0 else 0.0
 
-    def say(self, now: int) -> float:
+    def freshness(self, now: int) -> float:
         """1 while it is fresh, falling to 0 once it is gone."""
         if self.boot < 0:
             return 0.0
-        return min(1.0, max(0.0, 1.0 - (now - self.heard - STALE) / (GONE - STALE)))
+        return min(1.0, max(0.0, 1.0 - (now - self.last_heard - STALE) / (GONE - STALE)))
 
-    def take(self, boot: int, number: int, uptime: float, load: float, now: int) -> Order:
+    def add(self, boot: int, number: int, uptime: float, load: float, now: int) -> ReadingOutcome:
         """One report. Only what is new moves the time at which the sender was last heard."""
         if not (math.isfinite(load) and 0.0 <= load <= 100.0) or uptime < 0:
-            return Order.UNREAL
-        if boot < self.boot and now - self.heard < GONE:
-            return Order.OLD_LIFE
+            return ReadingOutcome.UNREAL
+        if boot < self.boot and now - self.last_heard < GONE:
+            return ReadingOutcome.OLD_LIFE
         if boot != self.boot:
             self._born(boot, number, uptime, now)
         ahead = number - self.newest
         if ahead > 0:
             # Against its birth, not its last report: the same for whatever order reports come in.
             if uptime > self.born_uptime + DRIFT * (now - self.born_at) + AHEAD:
-                return Order.UNREAL
+                return ReadingOutcome.UNREAL
             self.seen = (self.seen << min(ahead, WINDOW)) & (2**WINDOW - 1) | 1
-            self.newest, self.uptime, self.heard = number, max(self.uptime, uptime), now
-            order = Order.NEW
+            self.newest, self.uptime, self.last_heard = number, max(self.uptime, uptime), now
+            order = ReadingOutcome.NEW
         else:
             bit = 1 << -ahead
             if -ahead >= WINDOW or self.seen & bit:
-                return Order.REPEATED
+                return ReadingOutcome.REPEATED
             self.seen |= bit
-            order = Order.LATE
+            order = ReadingOutcome.LATE
         self._add(uptime, load)
         return order
 
     def _born(self, boot: int, number: int, uptime: float, now: int) -> None:
         self.born_at, self.born_uptime = now, uptime
-        self.boot, self.newest, self.seen, self.uptime, self.heard = boot, number - 1, 0, uptime, 0
+        self.boot, self.newest, self.seen, self.uptime, self.last_heard = boot, number - 1, 0, uptime, 0
         self.weight, self.sum, self.landmark = 0.0, 0.0, uptime
 
     def _add(self, uptime: float, load: float) -> None:
--- a/rushladder/intake/lane.py
+++ b/rushladder/intake/receiver.py
@@ -20,14 +20,14 @@
 from twisted.python.failure import Failure
 
 from rushladder.conf.grammar import Address
-from rushladder.intake.desk import LONGEST, Desk, Fate
-from rushladder.intake.gather import KEPT, Gathering
+from rushladder.intake.processor import MAX_REPORT_BYTES, ReportProcessor, ReportOutcome
+from rushladder.intake.datagram_buffer import MAX_PER_SENDER, DatagramBuffer
 from rushladder.intake.lane_pb2 import Batch, Sender, Turn
 from rushladder.runtime.endpoint import CONNECTION_DONE
-from rushladder.timing import Call, Clock, tenths
+from rushladder.timing import Clock, DelayedCall, clock_tenths
 
 reactor: Any = _reactor
-GATHER = 0.05  # s in which datagrams gather: what a reading is older for it, a hundredth of its life
+BATCH_INTERVAL = 0.05  # s in which datagrams gather: what a reading is older for it, a hundredth of its life
 SOCKET = 3  # the file descriptor under which a lane inherits the socket
 BUFFER = 4_000_000  # bytes asked of the kernel for datagrams: a third of a second of a large flood
 LONGEST_BATCH = 64_000_000  # bytes: some thousand servers' newest reports, each as long as may be
@@ -35,13 +35,13 @@
 STEADY = 10.0  # s of service after which a death counts as the first
 
 
-def deal(desk: Desk, batch: Batch, now: int) -> None:
+def process_batch(desk: ReportProcessor, batch: Batch, now: int) -> None:
     """One batch into the desk: what was passed over is counted, the rest read, the newest first."""
-    desk.counts[Fate.STRANGER] += batch.strangers
+    desk.counts[ReportOutcome.STRANGER] += batch.strangers
     for sender in batch.senders:
         if sender.passed_over:
             desk.passed_over(sender.address, sender.passed_over)
-        for data in sender.reports[:KEPT]:
+        for data in sender.reports[:MAX_PER_SENDER]:
             desk.report(sender.address, data, now)
 
 
@@ -52,7 +52,7 @@
 
     def __init__(self, clock: Clock, ended: Callable[[], None]) -> None:
         self._clock, self._ended = clock, ended
-        self.gathering, self._due = Gathering(frozenset()), False
+        self.gathering, self._due = DatagramBuffer(frozenset()), False
 
     def add(self, datagram: bytes, address: str) -> None:
         self.gathering.add(address, datagram)
@@ -63,11 +63,11 @@
             self.gathering.knows = frozenset(turn.addresses)
         if not self._due:
             self._due = True
-            self._clock.callLater(GATHER, self._hand_over)
+            self._clock.callLater(BATCH_INTERVAL, self._hand_over)
 
     def _hand_over(self) -> None:
         if not self.gathering and not self.gathering.strangers:
-            self._clock.callLater(GATHER, self._hand_over)
+            self._clock.callLater(BATCH_INTERVAL, self._hand_over)
             return
         self._due = False
         batch = Batch(
@@ -87,7 +87,7 @@
         self._lane = lane
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self._lane.add(datagram[: LONGEST + 1], addr[0])  # enough to tell that it was too long
+        self._lane.add(datagram[: MAX_REPORT_BYTES + 1], addr[0])  # enough to tell that it was too long
 
 
 class Handing(Int32StringReceiver):
@@ -95,7 +95,7 @@
 
     MAX_LENGTH = LONGEST_BATCH
 
-    def __init__(self, desk: Desk, clock: Clock) -> None:
+    def __init__(self, desk: ReportProcessor, clock: Clock) -> None:
         self._desk, self._clock, self._told = desk, clock, -1
 
     def turn(self) -> None:
@@ -107,24 +107,24 @@
         self.sendString(turn.SerializeToString())  # type: ignore[no-untyped-call]
 
     def stringReceived(self, string: bytes) -> None:
-        deal(self._desk, Batch.FromString(string), tenths(self._clock))
+        process_batch(self._desk, Batch.FromString(string), clock_tenths(self._clock))
         self.turn()
 
 
-class Keeper(protocol.ProcessProtocol):
+class ReceiverSupervisor(protocol.ProcessProtocol):
     """Keeps one lane alive for a bound socket, until it is told to stop."""
 
-    def __init__(self, desk: Desk, door: socket.socket, on_fault: Callable[[str], None]) -> None:
+    def __init__(self, desk: ReportProcessor, door: socket.socket, on_fault: Callable[[str], None]) -> None:
         self._desk, self._door, self._fault = desk, door, on_fault
         self._wait, self._since, self._stopped = FIRST_WAIT, 0.0, False
         self._handing: Handing | None = None
-        self._again: Call | None = None
+        self._again: DelayedCall | None = None
         self.pid = self.starts = 0
 
     def start(self) -> None:
         self.starts += 1
         self._since = reactor.seconds()
-        command = [sys.executable, "-m", "rushladder.intake.lane"]
+        command = [sys.executable, "-m", "rushladder.intake.receiver"]
         ends = {0: "w", 1: "r", 2: 2, SOCKET: self._door.fileno()}
         self.pid = reactor.spawnProcess(self, sys.executable, command, env=None, childFDs=ends).pid
 
@@ -162,7 +162,7 @@
         self._wait = min(LONGEST_WAIT, 2 * self._wait)
 
 
-def open_door(where: Address) -> socket.socket:
+def bind_report_socket(where: Address) -> socket.socket:
     """The bound socket. Raises OSError if it can't be bound."""
     door = socket.socket(socket.AF_INET6 if ":" in where.host else socket.AF_INET, socket.SOCK_DGRAM)
     door.setblocking(False)
--- a/rushladder/interface.py
+++ b/rushladder/interface.py
@@ -20,7 +20,7 @@
     DRAINING = 2
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """Whether a txn may run again."""
 
     INQUIRY_LIKE = "inquiry-like"
@@ -59,12 +59,12 @@
 
     OK = 0
     ERROR = 255
-    TURNED_AWAY = 254
+    REJECTED = 254
     TIMED_OUT = 253
     UNREACHABLE = 252
     RESET = 251
     CANCELLED = 250
-    MOOT = 249
+    OBSOLETE = 249
 
 
 @dataclass(eq=False)
@@ -74,17 +74,17 @@
     name: str
     sla_time: int
     expiry: int
-    rev: float
-    late_part: float
-    repeat: Repeat
-    group: str  # "all", "zone" or "cell": the workers that drop a repeat of a referenced txn
-    window: int  # for how long they drop it, from the first try that might have run
+    revenue: float
+    late_revenue_fraction: float
+    idempotency: Idempotency
+    dedup_group: str  # "all", "zone" or "cell": the workers that drop a repeat of a referenced txn
+    dedup_window: int  # for how long they drop it, from the first try that might have run
     writes: bool = False
     home_only: bool = False  # may go only to workers of the proxy's own zone
     models: frozenset[str] = frozenset()  # the only machine models it may go to; empty: any
     zones: frozenset[str] = frozenset()  # the only zones it may go to; empty: any
 
-    def open_to(self, worker: Worker, zone: str) -> bool:
+    def is_eligible(self, worker: Worker, zone: str) -> bool:
         """Whether it may go there from a proxy of that zone."""
         return (
             (not self.models or worker.model in self.models)
@@ -122,24 +122,24 @@
 
     lines_per_s: float
     pending_max: float
-    head: float  # lines that each message costs beside its own
-    message_cap: int  # messages to one proxy within `cap_span`; 0: no such limit
-    cap_span: int
-    usual_way: int
-    longest_way: int
+    message_overhead: float  # lines that each message costs beside its own
+    message_cap: int  # messages to one proxy within `cap_window`; 0: no such limit
+    cap_window: int
+    usual_delay: int
+    max_delay: int
 
 
 @dataclass(frozen=True)
 class Guarantee:
     """The figures of the rules."""
 
-    bare: int
+    no_worker_limit: int
     drain_grace: int
     cold_time: int
     cold_from: float
-    fall_multiple: float
-    fall_for: int
-    ask_within: int
+    overload_factor: float
+    overload_duration: int
+    list_retry_within: int
     dropped_stay_open: bool
 
 
@@ -177,7 +177,7 @@
 
 
 @dataclass(frozen=True)
-class PeerWord:
+class PeerMessage:
     peer: int
     data: bytes
 
@@ -185,8 +185,10 @@
 @dataclass(frozen=True)
 class Joined(Generic[P]):
     proxy: P
-    bare: bool  # it holds only the table it drew at its start
-    keeps: bool = False  # workers that a former manager had it shut out stay so, though it is bound anew
+    initial_table_only: bool  # it holds only the table it drew at its start
+    keeps_withdrawals: bool = (
+        False  # workers that a former manager had it shut out stay so, though it is bound anew
+    )
 
 
 @dataclass(frozen=True)
@@ -196,37 +198,37 @@
 
 @dataclass(frozen=True)
 class Tries(Generic[W]):
-    """What the joined proxies of a zone met at a worker; `mean` is that of the settled tries."""
+    """What the joined proxies of a zone met at a worker; `mean_latency` is that of the settled tries."""
 
     worker: W
     zone: str
-    many: int
+    count: int
     voided: int
-    covers: int
-    mean: int
+    span: int
+    mean_latency: int
     load: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Learned(Generic[W]):
+class LearnedWorker(Generic[W]):
     """What is known of one worker: its speed and the part of its listed weight, over how many reports (as far
     as they still count), how long it stays out at a relapse, and until when. Times are the host's."""
 
     worker: W
-    pace: float
+    speed: float
     factor: float
-    heard: float
-    out_for: int = 0
-    out_until: int = 0
+    report_count: float
+    exclusion_time: int = 0
+    excluded_until: int = 0
 
 
 @dataclass(frozen=True)
-class Remembered(Generic[W]):
+class LearnedState(Generic[W]):
     """What a manager knew before it was started anew, already faded by whoever kept it. `mix`: each product's
     part of the demand; empty where it counts for nothing."""
 
-    workers: Sequence[Learned[W]]
-    quiet: float
+    workers: Sequence[LearnedWorker[W]]
+    calm_latency: float
     mix: Mapping[Product, float] = field(default_factory=dict)
 
 
@@ -236,22 +238,22 @@
 
     proxy: P
     product: Product
-    many: int
+    count: int
     voided: int
-    covers: int
+    span: int
 
 
 @dataclass(frozen=True)
 class Applied(Generic[P]):
     proxy: P
-    number: int
+    mark: int
     elapsed: int
 
 
 @dataclass(frozen=True)
-class SliceGiven:
+class SliceAssigned:
     slice: int
-    mine: bool
+    assigned: bool
 
 
 @dataclass(frozen=True)
@@ -265,25 +267,25 @@
 class SliceArrivals:
     slice: int
     product: Product
-    many: int
+    count: int
     voided: int
-    covers: int
+    span: int
 
 
 Event = (
     Listing[Any]
     | Reminder
     | Probed[Any]
-    | PeerWord
+    | PeerMessage
     | Joined[Any]
     | Left[Any]
     | Tries[Any]
     | Arrivals[Any]
     | Applied[Any]
-    | SliceGiven
+    | SliceAssigned
     | SliceLine[Any]
     | SliceArrivals
-    | Remembered[Any]
+    | LearnedState[Any]
 )
 
 
@@ -292,28 +294,28 @@
 
     def now(self) -> int: ...
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None: ...
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None: ...
 
-    def empty(self, tbl: int) -> None: ...
+    def clear_table(self, tbl: int) -> None: ...
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None: ...
 
-    def hold_back(self, worker: Worker, out: bool) -> None: ...
+    def set_withdrawn(self, worker: Worker, out: bool) -> None: ...
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """Undoes what a former manager withdrew at this proxy."""
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None: ...
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None: ...
 
     def checkpoint(self, number: int, everyone: bool) -> None: ...
 
     def probe(self, worker: Worker) -> None: ...
 
-    def tell(self, peer: int | None, data: bytes) -> None: ...
+    def send_to_peer(self, peer: int | None, data: bytes) -> None: ...
 
-    def watch(self, on: bool) -> None: ...
+    def watch_list(self, on: bool) -> None: ...
 
-    def ask_list(self) -> None: ...
+    def request_list(self) -> None: ...
 
     def wake(self, after: int, token: int) -> None: ...
 
--- a/rushladder/lines.py
+++ b/rushladder/lines.py
@@ -47,7 +47,7 @@
     def applied(self, event: Applied[P]) -> None:
         """The proxy has applied the message with this mark and all before it."""
         sent = self._sent.get(event.proxy, deque())
-        while event.number in (mark for mark, _, _ in sent):
+        while event.mark in (mark for mark, _, _ in sent):
             _, lines, number = sent.popleft()
             self.waiting, self._newest = self.waiting - lines, max(self._newest, number)
 
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -11,7 +11,7 @@
 from rushladder.conf.objects import PeerConfig
 from rushladder.peers.inbox import Inbox, Verdict
 from rushladder.peers.word_pb2 import Word
-from rushladder.timing import Clock, tenths
+from rushladder.timing import Clock, clock_tenths
 
 MARK = 0x52554C44
 MOST = 1200  # bytes of a datagram: fits any path without being cut up
@@ -33,7 +33,7 @@
         self._heard, self._fault, self._number = heard, fault, 0
         self.inbox = Inbox(peers.keys())
 
-    def tell(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self._number += 1
         datagram = Word(
             mark=MARK, manager=self._manager, boot=self._boot, number=self._number, data=data
@@ -58,7 +58,7 @@
         if word.mark != MARK:
             self.inbox.counts[Verdict.FOREIGN] += 1
             return self._fault("a foreign datagram at the peers' address")
-        verdict = self.inbox.judge(word.manager, word.boot, word.number, tenths(self._clock))
+        verdict = self.inbox.judge(word.manager, word.boot, word.number, clock_tenths(self._clock))
         if verdict is Verdict.NEW:
             self._heard(self._peers[word.manager].number, word.data)
         elif verdict is Verdict.FOREIGN:
--- a/rushladder/peers/bare.py
+++ b/rushladder/peers/raw_link.py
@@ -13,7 +13,7 @@
 Place = tuple[str, int]
 
 
-class BareLink(protocol.DatagramProtocol):
+class RawPeerLink(protocol.DatagramProtocol):
     """peers: an address for each manager by its number, our own among them; everyone: the one that reaches
     all. heard: takes a peer's number and bytes."""
 
--- a/rushladder/records.py
+++ b/rushladder/records.py
@@ -39,12 +39,12 @@
 
     def forget(self, factor: float = 1.0, heard: int = 0) -> None:
         """The record starts anew, with a part of the listed weight and so many reports taken as heard."""
-        self.factor, self.pace, self.heard = factor, 1.0, float(heard)
+        self.factor, self.pace, self.report_count = factor, 1.0, float(heard)
         self.hint = 1.0  # the factor of its load reports
         self.tries = dict[str, Ring]()  # by zone of the proxies
         self.bad_probes = self.good_probes = 0
 
-    def seen(self, now: int, buckets: int) -> tuple[float, ...]:
+    def recent_totals(self, now: int, buckets: int) -> tuple[float, ...]:
         """Tries, voided, settled, the settled ones' time, and how many settle a second."""
         totals = [ring.total(now, buckets) for ring in self.tries.values()]
         many, voided, settled, time = (sum(sums[k] for sums in totals) for k in range(4))
@@ -58,9 +58,9 @@
         """It joins anew. seconds: of reports that are kept."""
         self.joined_at, self.team, self.tables = now, 0, list[Table]()
         self.keeps = keeps  # what a former manager withdrew at it
-        self.let_back = dict[Server, None]()  # whatever that manager had withdrawn
+        self.cleared_withdrawals = dict[Server, None]()  # whatever that manager had withdrawn
         self.counted = self.usual_rate  # in its team's sum: the proxy may name another rate as it comes again
-        self.came = {product: Ring(SECOND, seconds, 2) for product in products}  # many, time covered
+        self.arrivals = {product: Ring(SECOND, seconds, 2) for product in products}  # many, time covered
         self.rates, self.rated = dict[Product, float](), (-1, 0)  # when they were worked out
 
 
--- a/rushladder/runtime/endpoint.py
+++ b/rushladder/runtime/endpoint.py
@@ -24,7 +24,7 @@
     Overlong,
     encode_commands,
 )
-from rushladder.timing import Call, Clock
+from rushladder.timing import Clock, DelayedCall
 
 # Seconds without a command before an interactive connection is closed: ten times an operator's usual pause.
 IDLE_TIMEOUT = 300.0
@@ -95,7 +95,7 @@
         self._table, self._level, self._clock, self._on_error = table, level, clock, on_error
         self._parser, self._queue = CommandParser(), deque[Command | Overlong]()
         self._interactive = self._prompting = self._busy = self._paused = self._closing = False
-        self._timer: Call | None = None
+        self._timer: DelayedCall | None = None
 
     def connectionMade(self) -> None:
         self._transport().registerProducer(self, True)
@@ -262,7 +262,7 @@
     ) -> None:
         self._clock, self._timeout, self._on_lost = clock, timeout, on_lost
         self._parser, self._pending = AnswerParser(), deque[tuple[int, list[str], Deferred[list[str]]]]()
-        self._timer: Call | None = None
+        self._timer: DelayedCall | None = None
         self.open, self._close_reason = False, "connection closed by the server"
         self.greeting: Deferred[list[str]] | None = None
 
