--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -12,17 +12,23 @@
 from rushladder import __version__
 from rushladder.conf.grammar import InvalidValue, duration, inet, name, number
 from rushladder.core.host import LEVELS_MAP, RETRIES_MAP
-from rushladder.core.roster import NoSuch
-from rushladder.gateways.difference import Admin
+from rushladder.core.roster import RosterError
+from rushladder.gateways.diff import AdminState
 from rushladder.guard.history import Version
-from rushladder.guard.warden import Denied
+from rushladder.guard.table_guard import Denied
 from rushladder.interface import Availability
 from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command, format_csv
 from rushladder.service.manager import Manager
-from rushladder.store.commands import LONGEST, LONGEST_ID, SURE_MOST, Effect, repeatable
+from rushladder.store.commands import (
+    MAX_COMMAND_LENGTH,
+    MAX_ID_LENGTH,
+    DURABLE_TIMEOUT,
+    Effect,
+    is_idempotent,
+)
 from rushladder.store.memory import Kind
-from rushladder.timing import TENTHS, tenths
+from rushladder.timing import TENTHS_PER_SECOND, clock_tenths
 
 # Uncommitted versions, and lines of each: 20 products x 1,000 servers.
 MAX_PREPARED, MAX_PREPARED_LINES = 16, 20_000
@@ -224,7 +230,7 @@
     def call(command: Command, level: Level) -> str:
         try:
             return run(command.words)
-        except (NoSuch, InvalidValue) as error:
+        except (RosterError, InvalidValue) as error:
             raise CommandRefused(f"{error}") from None
         except IndexError:
             raise CommandRefused("An argument is missing, see 'help'.") from None
@@ -240,20 +246,20 @@
 
     async def run(self, command: Command, level: Level) -> str:
         words = command.words
-        if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{LONGEST_ID}}}", words[1]):
+        if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{MAX_ID_LENGTH}}}", words[1]):
             raise CommandRefused(
-                f"once ID COMMAND...; an ID has 1 to {LONGEST_ID} letters, digits, and . : - _"
+                f"once ID COMMAND...; an ID has 1 to {MAX_ID_LENGTH} letters, digits, and . : - _"
             )
         name, inner = words[1], Command(words[2:], command.payload)
         spec = self._commands.find(inner.words)
         text = " ".join(inner.words)
-        if spec is None or len(text) > LONGEST:
-            raise CommandRefused(f"Unknown command, or over {LONGEST} characters; see 'help'.")
+        if spec is None or len(text) > MAX_COMMAND_LENGTH:
+            raise CommandRefused(f"Unknown command, or over {MAX_COMMAND_LENGTH} characters; see 'help'.")
         if spec.level > level:
             return "Permission denied\n"
         memory = self._manager.memory
         now = memory.now() if memory is not None else 0
-        effect = self._journal.begin(name, text, repeatable(spec.words), now)
+        effect = self._journal.begin(name, text, is_idempotent(spec.words), now)
         if effect is Effect.ANSWER:
             return self._journal[name].answer
         if effect is not Effect.RUN:
@@ -262,7 +268,7 @@
             try:
                 await self._make_durable(name)
             except TimedOut:
-                self._journal.never_ran(name)
+                self._journal.cancel(name)
                 memory.writer.put(Kind.COMMAND, name, None)
                 raise CommandRefused(
                     "Not carried out: it could not be recorded, the disk fails or is slow."
@@ -272,7 +278,7 @@
             answer = answer if isinstance(answer, str) else await answer
         except CommandRefused as refused:
             answer = f"{refused}\n"
-        self._journal.answered(name, answer)
+        self._journal.record_answer(name, answer)
         if memory is not None:
             self._manager.store_changes()
             try:
@@ -288,7 +294,7 @@
         assert memory is not None
         memory.record_command(name)
         clock: Any = self._manager.clock
-        await memory.flush().addTimeout(SURE_MOST, clock)
+        await memory.flush().addTimeout(DURABLE_TIMEOUT, clock)
 
 
 class RuntimeApi:
@@ -300,8 +306,8 @@
 
     def info(self, words: tuple[str, ...]) -> str:
         manager, uptime = self._manager, self._manager.clock.seconds() - self._manager.started
-        owed, sent = self._core.waiting()
-        unanswered = sum(driver.waiting() for driver in manager.drivers)
+        owed, sent = self._core.line_counts()
+        unanswered = sum(driver.unanswered_commands() for driver in manager.drivers)
         facts: dict[str, str | int] = {
             "Name": "rushladder",
             "Version": __version__,
@@ -311,7 +317,7 @@
             "Beats": manager.periods,
             "Events": manager.events,
             "Gateways": len(manager.drivers),
-            "GatewaysHeld": sum(driver.port is not None for driver in manager.drivers),
+            "GatewaysHeld": sum(driver.session is not None for driver in manager.drivers),
             "Servers": len(self._roster.listed),
             "ListVersion": self._roster.version,
             "ListRestored": int(manager.restored),
@@ -328,19 +334,19 @@
         return "".join(f"{key}: {value}\n" for key, value in facts.items())
 
     def stat(self, words: tuple[str, ...]) -> str:
-        now, rows = tenths(self._manager.clock), list[dict[str, object]]()
+        now, rows = clock_tenths(self._manager.clock), list[dict[str, object]]()
         for product in self._core.products:
             sums = [
                 sum(values)
                 for values in zip(
                     (0.0, 0.0),
-                    *(gateway.came[product].total(now, 5) for gateway in self._core.ports),
+                    *(gateway.arrivals[product].total(now, 5) for gateway in self._core.sessions),
                     strict=True,
                 )
             ]
             levels = [
-                int(float(self._core.level_text(tbl.gates[product][0])))
-                for port in self._core.ports.values()
+                int(float(self._core.format_level(tbl.gates[product][0])))
+                for port in self._core.sessions.values()
                 if (tbl := port.tables.get(product)) is not None and product in tbl.gates
             ]
             rows.append(
@@ -349,22 +355,24 @@
                     "svname": "BACKEND",
                     "status": "UP",
                     "stot": int(sums[0]),
-                    "req_rate": round(TENTHS * sums[0] * len(self._core.ports) / sums[1], 1)
+                    "req_rate": round(TENTHS_PER_SECOND * sums[0] * len(self._core.sessions) / sums[1], 1)
                     if sums[1]
                     else 0,
                     "level_permille": min(levels, default=1000),
-                    "gateways": len(self._core.ports),
+                    "gateways": len(self._core.sessions),
                 }
             )
         used = dict[str, int]()
-        for port in self._core.ports.values():
+        for port in self._core.sessions.values():
             carried = {
-                key[1] for key, line in port.held.lines.items() if line.weight and line.admin is Admin.READY
+                key[1]
+                for key, line in port.held.lines.items()
+                if line.weight and line.admin is AdminState.READY
             }
             for server in carried:
                 used[server] = used.get(server, 0) + 1
         for one in self._roster.listed.values():
-            count, voided, _, _, rate = one.server.seen(now, 5)
+            count, voided, _, _, rate = one.server.recent_totals(now, 5)
             rows.append(
                 {
                     "pxname": FLEET,
@@ -387,7 +395,7 @@
     def servers(self, words: tuple[str, ...]) -> str:
         if len(words) > 3 and words[3] != FLEET:
             raise CommandRefused("Can't find backend.")
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         text = (
             "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight "
             "srv_time_since_last_change srv_port region model\n"
@@ -395,7 +403,7 @@
         bits = {Availability.READY: 0, Availability.DRAINING: 8, Availability.GONE: 1}
         for index, one in enumerate(self._roster.listed.values(), 1):
             host, port = one.address.rsplit(":", 1)
-            age = (now - one.started_at) // TENTHS if one.started_at else -1
+            age = (now - one.started_at) // TENTHS_PER_SECOND if one.started_at else -1
             text += (
                 f"1 {FLEET} {index} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
                 f"{bits[one.availability]} {one.size:g} {age} {port} {one.server.zone} {one.server.model}\n"
@@ -411,36 +419,36 @@
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
             raise CommandRefused("Unknown map identifier. Please use levels or retries.")
         text, index = "", 0
-        for port in self._core.ports.values():
+        for port in self._core.sessions.values():
             for key, value in self._core.maps(port)[words[2]].items():
                 index += 1
                 text += f"0x{index:x} {port.gateway.name}/{key} {value}\n"
         return text
 
     def sess(self, words: tuple[str, ...]) -> str:
-        now, text = tenths(self._manager.clock), ""
+        now, text = clock_tenths(self._manager.clock), ""
         for driver in self._manager.drivers:
-            port, hold = driver.port, driver.holding
+            port, hold = driver.session, driver.election
             text += (
-                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.stand.name.lower()} "
-                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.waiting()}"
+                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.state.name.lower()} "
+                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
             )
             if port is not None:
                 age = (now - port.sent_at) // 10 if port.sent_at else 0
                 text += (
-                    f" owed={port.owed_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
+                    f" owed={port.pending_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
                     f"lines={len(port.held.lines)}"
                 )
             text += "\n"
         return text
 
     def table(self, words: tuple[str, ...]) -> str:
-        port = next((port for port in self._core.ports.values() if port.gateway.name == words[2]), None)
+        port = next((port for port in self._core.sessions.values() if port.gateway.name == words[2]), None)
         if port is None:
             raise CommandRefused("No such gateway held here.")
         rows = list[list[object]]()
         for product in port.tables:
-            for key, line in self._core.wanted(port, product).items():
+            for key, line in self._core.desired_lines(port, product).items():
                 held = port.held.lines.get(key)
                 rows.append(
                     [
@@ -469,19 +477,19 @@
         return (product, server), number(0, 10_000, "%")(percent) / 100
 
     def _propose(self, why: str, changes: list[tuple[tuple[str, str], float]]) -> str:
-        gateways, warden = self._core.using({key for key, _ in changes}), self._core.warden
-        return self._apply(lambda now: warden.propose("operator", why, changes, gateways, now))
+        gateways, table_guard = self._core.gateways_using({key for key, _ in changes}), self._core.table_guard
+        return self._apply(lambda now: table_guard.propose("operator", why, changes, gateways, now))
 
     def _apply(self, change: Callable[[int], Version]) -> str:
-        warden = self._core.warden
+        table_guard = self._core.table_guard
         try:
-            version = change(tenths(self._manager.clock))
+            version = change(clock_tenths(self._manager.clock))
         except Denied as denied:
             raise CommandRefused(f"Refused: {denied}.") from None
-        self._core.owe_all()
+        self._core.mark_all_pending()
         self._manager.handle_events()
-        wave = warden.wave
-        out = wave is not None and not wave.over and wave.number == version.number
+        wave = table_guard.wave
+        out = wave is not None and not wave.finished and wave.number == version.number
         self._manager.log_event("table.accepted", version=version.number, why=version.why, wave=out)
         return f"Version {version.number} {'goes out in waves' if out else 'stands'}.\n"
 
@@ -516,17 +524,17 @@
     def rollback(self, words: tuple[str, ...]) -> str:
         if not words[2].isdigit():
             raise CommandRefused("Require a version's number.")
-        warden = self._core.warden
-        keys = {key for one in warden.history.all() for key in one.factors}
-        gateways = self._core.using(keys)
-        return self._apply(lambda now: warden.rollback("operator", int(words[2]), gateways, now))
+        table_guard = self._core.table_guard
+        keys = {key for one in table_guard.history.all() for key in one.factors}
+        gateways = self._core.gateways_using(keys)
+        return self._apply(lambda now: table_guard.rollback("operator", int(words[2]), gateways, now))
 
     @staticmethod
     def _age(at: int, now: int) -> int:
-        return (now - at) // TENTHS if at else -1
+        return (now - at) // TENTHS_PER_SECOND if at else -1
 
     def history(self, words: tuple[str, ...]) -> str:
-        now, history = tenths(self._manager.clock), self._core.warden.history
+        now, history = clock_tenths(self._manager.clock), self._core.table_guard.history
         return "# version parent age_s who lines state why\n" + "".join(
             f"{one.number} {one.parent} {self._age(one.at, now)} {one.who} {len(one.factors)} "
             f"{'current' if one.number == history.current else one.state.replace(' ', '_')} {one.why}\n"
@@ -535,7 +543,7 @@
 
     def diff(self, words: tuple[str, ...]) -> str:
         try:
-            rows = self._core.warden.history.diff(int(words[3]), int(words[4]))
+            rows = self._core.table_guard.history.diff(int(words[3]), int(words[4]))
         except (KeyError, ValueError):
             raise CommandRefused("No such version.") from None
         return "# pxname svname before after\n" + "".join(
@@ -543,35 +551,35 @@
         )
 
     def refused(self, words: tuple[str, ...]) -> str:
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         return "".join(
-            f"[{(now - one.at) // TENTHS}s ago] {one.who}: {one.what}\n"
-            for one in self._core.warden.history.refused
+            f"[{(now - one.at) // TENTHS_PER_SECOND}s ago] {one.who}: {one.what}\n"
+            for one in self._core.table_guard.history.refused
         )
 
     def wave(self, words: tuple[str, ...]) -> str:
-        wave = self._core.warden.wave
+        wave = self._core.table_guard.wave
         if wave is None:
             return "No wave.\n"
         return (
             f"version={wave.number} stage={wave.stage.name.lower()} gateways={','.join(wave.changed) or '-'} "
-            f"txns={wave.watch.seen:.0f} sure_worse={wave.watch.sureness():.3f}\n"
+            f"txns={wave.test.txns:.0f} sure_worse={wave.test.probability_worse():.3f}\n"
         )
 
     # Load reports.
 
     def load(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, tenths(self._manager.clock)
+        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
         if len(words) > 2 and words[2] not in desk.senders:
             raise CommandRefused("No such server that reports.")
         rows = [
             [
                 name,
                 f"{one.reading.value():.3f}",
-                f"{(now - one.reading.heard) / TENTHS:.1f}",
-                f"{one.reading.say(now):.2f}",
+                f"{(now - one.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
+                f"{one.reading.freshness(now):.2f}",
                 f"{desk.hints.worth(name):.2f}",
-                f"{desk.given.get(name, 1.0):.3f}",
+                f"{desk.current_hints.get(name, 1.0):.3f}",
                 one.reading.boot,
                 one.reading.newest,
                 one.agent.why if one.agent else "",
@@ -582,8 +590,8 @@
         return format_csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, tenths(self._manager.clock)
-        loads, ages = desk.spread(now)
+        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
+        loads, ages = desk.distributions(now)
         text = "".join(f"{fate.name}: {count}\n" for fate, count in desk.counts.items())
         text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
         for quantity, sketch in (("load", loads), ("age_s", ages)):
@@ -608,15 +616,15 @@
             "Refused": writer.refused,
             "Snapshots": memory.log.snapshots,
             "Segment": memory.log.segment,
-            "Failing": int(writer.behind),
+            "Failing": int(writer.failing),
             "Snapshot_read": opened.snapshot or "none",
             "Records_read": opened.records,
             "Skipped": opened.skipped,
             "Gaps": opened.gaps,
             "Servers_recalled": memory.recalled,
             "Commands": len(memory.journal),
-            "Commands_from_record": memory.journal.from_record,
-            "Commands_unknown": memory.journal.unknown,
+            "Commands_from_record": memory.journal.answered_from_journal,
+            "Commands_unknown": memory.journal.unknown_outcomes,
         }
         text = "".join(f"{key}: {value}\n" for key, value in facts.items())
         text += "".join(
@@ -651,7 +659,7 @@
         )
 
     def resolvers(self, words: tuple[str, ...]) -> str:
-        front, now = self._manager.dns, tenths(self._manager.clock)
+        front, now = self._manager.dns, clock_tenths(self._manager.clock)
         if front is None:
             raise CommandRefused("No zone is configured.")
         rows = [
@@ -661,9 +669,9 @@
                 asker.source,
                 asker.asked,
                 f"{pool.askers.volume(asker):.2f}",
-                f"{TENTHS / asker.wait if asker.wait else 0:.2f}",
+                f"{TENTHS_PER_SECOND / asker.wait if asker.wait else 0:.2f}",
                 int(asker.known()),
-                f"{(now - asker.last) / TENTHS:.1f}",
+                f"{(now - asker.last) / TENTHS_PER_SECOND:.1f}",
                 " ".join(asker.servers),
             ]
             for (product, region), pool in front.pools.items()
@@ -686,7 +694,7 @@
         return name(server)
 
     def set_server(self, words: tuple[str, ...]) -> str:
-        server, now = self._server_name(words[2]), tenths(self._manager.clock)
+        server, now = self._server_name(words[2]), clock_tenths(self._manager.clock)
         if words[3] == "state":
             if words[4] not in STATES:
                 raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
@@ -694,7 +702,7 @@
         elif words[3] == "weight":
             size = number(0.001, 1000)(words[4])
             try:
-                self._core.warden.resize("operator", server, size / self._roster[server].size, now)
+                self._core.table_guard.resize("operator", server, size / self._roster[server].size, now)
             except Denied as denied:
                 raise CommandRefused(f"Refused: {denied}.") from None
             self._manager.apply_list_change(self._roster.change(server, now, size=size))
@@ -723,7 +731,7 @@
         if options["region"] not in self._manager.config.regions:
             raise CommandRefused(f"No such region. {', '.join(self._manager.config.regions)} are allowed.")
         age = options.get("started")
-        now = tenths(self._manager.clock)
+        now = clock_tenths(self._manager.clock)
         known = self._roster.version
         self._roster.add(
             server,
@@ -735,7 +743,7 @@
         )
         if self._roster.version == known:
             return "Already listed.\n"
-        self._manager.apply_list_change(self._roster.told(server))
+        self._manager.apply_list_change(self._roster.listing_of(server))
         return "New server registered.\n"
 
     def del_server(self, words: tuple[str, ...]) -> str:
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -14,19 +14,19 @@
 
 from rushladder.conf.objects import GatewayConfig, ManagerConfig
 from rushladder.core.host import Core
-from rushladder.core.reports import Reports
+from rushladder.core.traffic import TrafficSums
 from rushladder.core.roster import Roster
 from rushladder.dnsfront.front import Front
-from rushladder.gateways.driver import GatewayDriver, Log, Times
-from rushladder.gateways.holding import Holding, Stand, spans
+from rushladder.gateways.driver import GatewayDriver, Log, DriverTimes
+from rushladder.gateways.election import HolderElection, HolderState, lease_and_settle_times
 from rushladder.guard.waves import Effect
-from rushladder.intake.desk import Desk
-from rushladder.interface import Event, Listing, PeerWord, Probed, ProbeResult
+from rushladder.intake.processor import ReportProcessor
+from rushladder.interface import Event, Listing, PeerMessage, Probed, ProbeResult
 from rushladder.records import Gateway, Server
 from rushladder.runtime.endpoint import RuntimeClient
 from rushladder.service.persistence import Persistence
 from rushladder.store.commands import Journal
-from rushladder.timing import TENTHS, Call, Clock, tenths
+from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
 PERIOD_SECONDS = (
     1.0  # control period; traffic is summed over it, the width of the decision module's time buckets
@@ -50,7 +50,7 @@
 class PeerSender(Protocol):
     """Sends the decision module's messages to the other managers."""
 
-    def tell(self, data: bytes) -> None: ...
+    def send(self, data: bytes) -> None: ...
 
 
 class ReportReceiver(Protocol):
@@ -103,10 +103,10 @@
         self.roster, self.memory = Roster(), memory
         self.journal = memory.journal if memory is not None else Journal()
         self.on_replaced: Callable[[], None] = lambda: None
-        now = tenths(clock)
+        now = clock_tenths(clock)
         if memory is not None:
             restored, age = memory.restore_list()
-        self.restored = bool(restored) and self.roster.load(restored, now, int(age * TENTHS))
+        self.restored = bool(restored) and self.roster.load(restored, now, int(age * TENTHS_PER_SECOND))
         if restored and not self.restored:
             self.record_error("the stored list is not complete and was ignored")
         for site in config.collectors if not self.restored else ():
@@ -125,8 +125,8 @@
             if (listed := self.roster.listed.get(site.name)) is not None:
                 listed.limit, listed.connections = site.limit, site.connections
         self.saved_version = self.roster.version
-        self.reports, self.peer_senders = Reports(), deque[PeerSender](maxlen=1)
-        self.desk, self.lanes = Desk(now, blind=config.trust_reports), list[ReportReceiver]()
+        self.reports, self.peer_senders = TrafficSums(), deque[PeerSender](maxlen=1)
+        self.desk, self.lanes = ReportProcessor(now, blind=config.trust_reports), list[ReportReceiver]()
         self._register_reporters()
         self.core = Core(
             config.identity.seed * 1000 + config.identity.number,
@@ -143,7 +143,7 @@
             gateways=[(site.name, site.region, site.usual_rate) for site in config.gateways],
         )
         hold = config.holding
-        lease, settle = spans(hold.poll)
+        lease, settle = lease_and_settle_times(hold.poll)
         self.drivers = [
             GatewayDriver(
                 clock,
@@ -151,7 +151,7 @@
                 Gateway(site.name, site.region, site.usual_rate),
                 self.core,
                 self.reports,
-                Holding(
+                HolderElection(
                     config.identity.name,
                     config.identity.region,
                     site.region
@@ -160,9 +160,9 @@
                     takeover=hold.takeover,
                     settle=settle,
                     lease=lease,
-                    highest=memory.restore_epoch(site.name) if memory is not None else 0,
+                    highest_epoch=memory.restore_epoch(site.name) if memory is not None else 0,
                 ),
-                Times(hold.poll / TENTHS, hold.patience / TENTHS),
+                DriverTimes(hold.poll / TENTHS_PER_SECOND, hold.patience / TENTHS_PER_SECOND),
                 self._random.random,
                 log,
                 self.handle_events,
@@ -176,11 +176,11 @@
         if self.dns is not None:
             self._by_gateway |= {seat.gateway: seat for seat in self.dns.seats}
         if memory is not None:
-            memory.restore_guard(self.core.warden, now)
+            memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.desk)
             products = {product.name: product for product in config.products}
             self.core.take(now, memory.restore_learned(self.roster, products, now))
-        self._wake_call: Call | None = None
+        self._wake_call: DelayedCall | None = None
         self._probes_in_flight = dict[Server, None]()
         self._stopped = False
 
@@ -201,7 +201,7 @@
             driver.stop()
         if self._wake_call is not None and self._wake_call.active():
             self._wake_call.cancel()
-        self._log.info("manager.stopped", gateways=len(self.core.ports))
+        self._log.info("manager.stopped", gateways=len(self.core.sessions))
 
     # Events for the decision module, and the orders that it gives.
 
@@ -210,46 +210,46 @@
         if self._stopped:
             return
         self.events += len(events)
-        self.core.take(tenths(self.clock), *events)
+        self.core.take(clock_tenths(self.clock), *events)
         self._carry_out_orders()
 
     def _carry_out_orders(self) -> None:
         probes, self.core.probes = self.core.probes, []
         for server in probes:
             self._probe(server)
-        words, self.core.words = self.core.words, []
+        words, self.core.peer_messages = self.core.peer_messages, []
         for data in words:
             for sender in self.peer_senders:
-                sender.tell(data)
-        for port in self.core.take_ready():
+                sender.send(data)
+        for port in self.core.take_pending_sessions():
             self._by_gateway[port.gateway].kick()
         wake = self.core.next_wake()
         if wake is not None:
             if self._wake_call is not None and self._wake_call.active():
                 self._wake_call.cancel()
             self._wake_call = self.clock.callLater(
-                max(0.0, wake / TENTHS - self.clock.seconds()) + 1e-4, self.handle_events
+                max(0.0, wake / TENTHS_PER_SECOND - self.clock.seconds()) + 1e-4, self.handle_events
             )
 
     def _run_period(self) -> None:
         if not self._stopped:
             self.periods += 1
             self.clock.callLater(PERIOD_SECONDS, self._run_period)
-            self.core.tell_demand()
-            effect = self.core.watch_wave(self.reports.take_met())
-            if effect is not Effect.NONE and self.core.warden.wave is not None:
-                wave = self.core.warden.wave
+            self.core.update_guard_demand()
+            effect = self.core.evaluate_wave(self.reports.take_arms())
+            if effect is not Effect.NONE and self.core.table_guard.wave is not None:
+                wave = self.core.table_guard.wave
                 self._log.info(
                     "wave",
                     version=wave.number,
                     effect=effect.value,
                     stage=wave.stage.value,
                     gateways=len(wave.changed),
-                    sure=round(wave.watch.sureness(), 4),
+                    sure=round(wave.test.probability_worse(), 4),
                 )
-            self.handle_events(*self.reports.close(self._load_hints()), *self._dns_events())
+            self.handle_events(*self.reports.take_events(self._load_hints()), *self._dns_events())
             self._store_learned()
-            errors, self.core.warden.faults = self.core.warden.faults, []
+            errors, self.core.table_guard.order_errors = self.core.table_guard.order_errors, []
             for message in errors:
                 self.record_error(message)
 
@@ -258,19 +258,19 @@
         if self.memory is None:
             return
         try:
-            learned, now = self.core.manager.learned(), tenths(self.clock)
-            self.memory.store_period(learned, self.roster, self.core.warden, self.desk, now)
+            learned, now = self.core.manager.learned_state(), clock_tenths(self.clock)
+            self.memory.store_period(learned, self.roster, self.core.table_guard, self.desk, now)
             for driver in self.drivers:
-                if driver.holding.stand is Stand.HOLDING:
-                    self.memory.store_epoch(driver.gateway.name, driver.holding.epoch)
+                if driver.election.state is HolderState.HOLDING:
+                    self.memory.store_epoch(driver.gateway.name, driver.election.epoch)
         except Exception as error:
             self.record_error(f"the learned state could not be stored: {type(error).__name__}: {error}")
 
     def store_changes(self) -> None:
         """Stores the list and the operators' factors now, before a command that changed them is answered."""
         if self.memory is not None:
-            self.memory.store_list(self.roster, tenths(self.clock))
-            self.memory.store_guard(self.core.warden)
+            self.memory.store_list(self.roster, clock_tenths(self.clock))
+            self.memory.store_guard(self.core.table_guard)
 
     def step_down(self) -> None:
         """Stops sending, as a newer process with this manager's name has taken over its gateways."""
@@ -295,7 +295,7 @@
             self._random.random,
             self.handle_events,
             config.guarantee.drain_grace,
-            config.channel.longest_way,
+            config.channel.max_delay,
         )
 
     def _dns_events(self) -> list[Event]:
@@ -303,21 +303,21 @@
         if self.dns is None:
             return []
         try:
-            return self.dns.period(self.desk.rates(tenths(self.clock)))
+            return self.dns.period(self.desk.rates(clock_tenths(self.clock)))
         except Exception as error:
             self.record_error(f"the DNS front's period failed: {type(error).__name__}: {error}")
             return []
 
     def _load_hints(self) -> dict[str, float]:
         """Weighs servers' load reports against measured latency. Empty if no server reports."""
-        now = tenths(self.clock)
+        now = clock_tenths(self.clock)
         if not self.desk.senders:
             return {}
-        totals = {name: listed.server.seen(now, 4) for name, listed in self.roster.listed.items()}
+        totals = {name: listed.server.recent_totals(now, 4) for name, listed in self.roster.listed.items()}
         settled, time = (sum(sums[k] for sums in totals.values()) for k in (2, 3))
         mean = time / settled if settled else 0.0
         latency = {name: sums[3] / sums[2] / mean for name, sums in totals.items() if sums[2] >= 5 and mean}
-        return self.desk.period(latency, now)
+        return self.desk.update_hints(latency, now)
 
     def _register_reporters(self) -> None:
         """Updates the permitted senders of load reports from the list and the configuration."""
@@ -326,7 +326,7 @@
             self.desk.forget(name)
         for name, site in sites.items():
             if name in self.roster.listed:
-                self.desk.listed(name, site.reports_from or f"agent of {name}", site.token)
+                self.desk.register(name, site.reports_from or f"agent of {name}", site.token)
         for lane in self.lanes:
             lane.listed()
 
@@ -341,17 +341,17 @@
         ):
             return
         self._probes_in_flight[server] = None
-        sent_at = tenths(self.clock)
+        sent_at = clock_tenths(self.clock)
 
         def done(result: Any) -> None:
             self._probes_in_flight.pop(server, None)
             probe_result = result if isinstance(result, ProbeResult) else ProbeResult.ERROR
-            self.handle_events(Probed(server, probe_result, tenths(self.clock) - sent_at))
+            self.handle_events(Probed(server, probe_result, clock_tenths(self.clock) - sent_at))
 
         self._prober.probe(listed.address).addBoth(done)
 
     def receive_peer_message(self, peer: int, data: bytes) -> None:
-        self.handle_events(PeerWord(peer, data))
+        self.handle_events(PeerMessage(peer, data))
 
     def apply_list_change(self, event: Listing[Server] | None) -> None:
         """Logs, applies and stores a change of the list that the runtime API or an agent check made."""
@@ -366,7 +366,7 @@
                 self.dns.listing()
             self.handle_events(event)
             if self.memory is not None:
-                self.memory.store_list(self.roster, tenths(self.clock))
+                self.memory.store_list(self.roster, clock_tenths(self.clock))
 
     def log_event(self, event: str, **more: Any) -> None:
         """Logs the effect of an operator's command."""
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -26,23 +26,25 @@
 
 from rushladder.catalog.reader import Catalog, Faulty
 from rushladder.catalog.watch import Watch
-from rushladder.conf.birth import Unfit, birth
+from rushladder.conf.startup_settings import SettingsError, manager_arguments
 from rushladder.conf.objects import LogSettings
 from rushladder.core.workers import Workers
-from rushladder.interface import Event, PeerWord, Probed, ProbeResult
-from rushladder.peers.bare import BareLink, Place
+from rushladder.interface import Event, PeerMessage, Probed, ProbeResult
+from rushladder.peers.raw_link import RawPeerLink, Place
 from rushladder.records import Server
-from rushladder.service.exchange import Prober
+from rushladder.service.probing import Prober
 from rushladder.service.logs import make_log
-from rushladder.service.notes import Notes
-from rushladder.catalog.client import CONNECT_MOST, numeric_agent
+from rushladder.service.throttled_log import ThrottledLog
+from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS, numeric_agent
 from rushladder.streams.codec import load_report
 from rushladder.streams.front import Front
 from rushladder.streams.host import StreamHost
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 CONFIG, NAME, LISTEN, DISCOVERY = "RELAY_CONFIG", "RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY"
-EPOCH = 100_000 * TENTHS  # the module's clock at the start: a day, so that starts before it have a place
+EPOCH = (
+    100_000 * TENTHS_PER_SECOND
+)  # the module's clock at the start: a day, so that starts before it have a place
 # Probes at once: 200 workers, half of them cut off, are through within half a beat by the 0.3 s that dialling
 # may take; fewer where the proxies leave no descriptors for them, yet 30 workers in two helpings.
 PROBES_LEAST, PROBES_MOST = 16, 64
@@ -122,7 +124,7 @@
         seconds = -1.0
     if not 0 <= seconds < inf:
         raise Wrong("settings limits.connect_timeout should be microseconds, 0 or more")
-    return seconds or CONNECT_MOST
+    return seconds or CONNECT_TIMEOUT_SECONDS
 
 
 def _site(raw: Mapping[str, Any], environment: Mapping[str, str]) -> Site:
@@ -130,12 +132,12 @@
     if not isinstance(settings, dict) or not isinstance(limits, dict):
         raise Wrong("settings and limits should be objects")
     try:
-        described = birth(settings)
+        described = manager_arguments(settings)
         me, proxies = int(settings["me"]), int(settings["family_info"]["proxies"])
         reporting = settings.get("reporting", {})
         connect_timeout = settings["limits"].get("connect_timeout", 0)
         report, fields = str(reporting.get("how", "silent")), frozenset(map(str, reporting.get("fields", ())))
-    except Unfit as trouble:
+    except SettingsError as trouble:
         raise Wrong(f"settings {trouble}") from None
     except KeyError as missing:
         raise Wrong(f"settings lack {missing}") from None
@@ -183,7 +185,7 @@
     ) -> None:
         self.site, self._reactor, self._log = site, reactor, log
         self._monotonic, self._wall, self._zero = monotonic, wall, monotonic()
-        self.notes = Notes(log, reactor)
+        self.notes = ThrottledLog(log, reactor)
         self._batch, self._turn, self._wake = list[Event](), False, None  # type: list[Event], bool, Any
         self._late = self._slow = 0.0
         self._waited = [0, 0]  # the longest that a joiner and a withdrawal waited, in tenths of a millisecond
@@ -191,12 +193,12 @@
         self.ended = False
         # Not the module's own draws: its chance depends on its events alone.
         draw = Random(site.seed ^ 0x5EED).random
-        agent = numeric_agent(reactor, CONNECT_MOST)
+        agent = numeric_agent(reactor, CONNECT_TIMEOUT_SECONDS)
         path, pulls = (REPORT, True) if site.report == "pull" else (HEALTH, False)
         self._again: Any = None
         self._prober, self._probing = Prober(reactor, path, pulls, site.connect), dict[Server, None]()
         self._room = DeferredSemaphore(site.probes)
-        self.words = BareLink(site.me, site.peers, site.peers_all, self._heard, self.notes.note)
+        self.words = RawPeerLink(site.me, site.peers, site.peers_all, self._heard, self.notes.note)
         self.workers = Workers()
         self.catalog = Catalog(self.workers, self.placed, self.notes.note)
         self.host = StreamHost(site.seed, site.described, self.now(), self._probe, self.words.tell)
@@ -254,10 +256,10 @@
     # Time.
 
     def now(self) -> int:
-        return EPOCH + int((self._monotonic() - self._zero) * TENTHS)
+        return EPOCH + int((self._monotonic() - self._zero) * TENTHS_PER_SECOND)
 
     def placed(self, unix_ms: float) -> int:
-        return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS / 1000))
+        return max(1, self.now() - int((self._wall() * 1000 - unix_ms) * TENTHS_PER_SECOND / 1000))
 
     # Events in, orders out: all that one turn of the reactor read is one batch.
 
@@ -274,7 +276,7 @@
     def _woken(self) -> None:
         due = self.host.next()
         if due is not None:
-            self._late = max(self._late, (self.now() - due) / TENTHS)
+            self._late = max(self._late, (self.now() - due) / TENTHS_PER_SECOND)
         backlog = self.host.manager.backlog()
         self._waited = [
             max(self._waited[0], backlog.joiner_waited),
@@ -285,14 +287,14 @@
     def _take(self, batch: list[Event]) -> None:
         began = self._monotonic()
         try:
-            self.host.take(self.now(), batch)
+            self.host.process_batch(self.now(), batch)
         finally:
             self._slow = max(self._slow, self._monotonic() - began)
             due = self.host.next()
             if due is not None:
                 if self._wake is not None and self._wake.active():
                     self._wake.cancel()
-                wait = max(0.0, (due - self.now()) / TENTHS) + 1e-4
+                wait = max(0.0, (due - self.now()) / TENTHS_PER_SECOND) + 1e-4
                 self._wake = self._reactor.callLater(wait, self._woken)
 
     def _probe(self, server: Server) -> None:
@@ -320,7 +322,7 @@
         self._room.run(begin).addBoth(done)
 
     def _heard(self, peer: int, data: bytes) -> None:
-        self.give(PeerWord(peer, data))
+        self.give(PeerMessage(peer, data))
 
     # Signals and figures.
 
@@ -347,7 +349,7 @@
         self._reactor.callLater(PERIOD, self._figures)
         self._log.info(
             "figures",
-            streams=len(self.host.ports),
+            streams=len(self.host.joined_proxies),
             strangers=len(self.front.strangers),
             version=self.catalog.version,
             listed=len(self.catalog.known),
@@ -449,7 +451,7 @@
             failure = event.get("log_failure")
             notes.note("error", failure.getTraceback()[-1500:] if failure else str(event.get("log_format")))
 
-    notes = Notes(log, reactor)
+    notes = ThrottledLog(log, reactor)
     globalLogBeginner.beginLoggingTo(
         [provider(ILogObserver)(observe)], redirectStandardIO=False, discardBuffer=True
     )
@@ -477,7 +479,7 @@
     if failed:
         log.error("node.failed", why=failed[0])
         return 1
-    log.info("node.ended", streams=len(node.host.ports))
+    log.info("node.ended", streams=len(node.host.joined_proxies))
     return 0
 
 
--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -11,23 +11,23 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.core.roster import Roster
-from rushladder.guard.history import Refused, Version
-from rushladder.guard.warden import Warden
-from rushladder.intake.desk import Desk
-from rushladder.interface import Learned, Product, Remembered
+from rushladder.guard.history import RefusedChange, Version
+from rushladder.guard.table_guard import TableGuard
+from rushladder.intake.processor import ReportProcessor
+from rushladder.interface import LearnedState, LearnedWorker, Product
 from rushladder.store.commands import Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
-    LEAP,
+    EPOCH_MARGIN,
     SECOND,
     Kind,
-    Known,
-    Notebook,
-    Sign,
-    Standing,
-    read,
-    recalled_demand,
-    recalled_trust,
+    ServerKnowledge,
+    ServerRecords,
+    Validity,
+    ListedServer,
+    parse_record,
+    recall_demand,
+    recall_trust,
 )
 from rushladder.store.store_pb2 import (
     CommandMemory,
@@ -53,7 +53,7 @@
         self.log, self.writer, self._clock, self._wall = log, writer, clock, wall
         self.opened = log.opened
         self._records = dict(log.state)
-        self.notebook = Notebook(self._records)
+        self.notebook = ServerRecords(self._records)
         now = self.now()
         commands = [(name, memory) for name, memory in self._records_of(Kind.COMMAND, CommandMemory)]
         self.journal = Journal(commands, now)
@@ -61,14 +61,16 @@
         self._stored_epochs, self._stored_trust = dict[str, int](), dict[str, tuple[float, ...]]()
         self._stored_list_version, self._period_count = -1, 0
         self._server_starts = dict[str, int]()
-        self.recalled, self.record_counts = 0, dict.fromkeys(Sign, 0)
+        self.recalled, self.record_counts = 0, dict.fromkeys(Validity, 0)
 
     def now(self) -> int:
         """The wall-clock time in milliseconds."""
         return int(SECOND * self._wall())
 
     def _records_of(self, kind: Kind, message: Any) -> list[tuple[str, Any]]:
-        found = [(key, read(message, payload)) for (k, key), payload in self._records.items() if k == kind]
+        found = [
+            (key, parse_record(message, payload)) for (k, key), payload in self._records.items() if k == kind
+        ]
         return [(key, memory) for key, memory in found if memory is not None]
 
     # Restoring from the store.
@@ -89,19 +91,19 @@
         The margin covers later epochs whose records were lost with a torn end of the log.
         """
         payload = self._records.get((Kind.GATEWAY, gateway))
-        memory = read(GatewayMemory, payload) if payload is not None else None
-        return memory.epoch + LEAP if memory is not None else 0
+        memory = parse_record(GatewayMemory, payload) if payload is not None else None
+        return memory.epoch + EPOCH_MARGIN if memory is not None else 0
 
-    def restore_learned(self, roster: Roster, products: Mapping[str, Product], now: int) -> Remembered[Any]:
+    def restore_learned(self, roster: Roster, products: Mapping[str, Product], now: int) -> LearnedState[Any]:
         """Returns the learned state for the decision module. now: the manager's clock, in tenths of a ms."""
         wall = self.now()
         listed_servers = self._listed_servers(roster, now)
-        self.record_counts = self.notebook.signs(listed_servers, wall)
-        workers = list[Learned[Any]]()
+        self.record_counts = self.notebook.count_by_validity(listed_servers, wall)
+        workers = list[LearnedWorker[Any]]()
         for known in self.notebook.recall(listed_servers, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
             workers.append(
-                Learned(
+                LearnedWorker(
                     roster.listed[known.name].server,
                     known.pace,
                     known.factor,
@@ -113,13 +115,13 @@
         self.recalled = len(workers)
         demand = None
         for _, memory in self._records_of(Kind.DEMAND, DemandMemory):
-            demand = recalled_demand(memory, products, wall)
+            demand = recall_demand(memory, products, wall)
         if demand is None:
-            return Remembered(workers, 0.0)
+            return LearnedState(workers, 0.0)
         mix = {products[name]: part for name, part in demand.mix.items()}
-        return Remembered(workers, PER_MS * demand.quiet, mix)
+        return LearnedState(workers, PER_MS * demand.quiet, mix)
 
-    def restore_guard(self, warden: Warden, now: int) -> None:
+    def restore_guard(self, table_guard: TableGuard, now: int) -> None:
         """Restores the versions of the operators' factors and the refused changes.
 
         A wave that was under way is taken back.
@@ -134,19 +136,19 @@
             if memory.stands:
                 stands = memory.parent if memory.waving else memory.number
         refused = [
-            Refused(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
+            RefusedChange(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
             for _, memory in sorted(
                 self._records_of(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at
             )
         ]
-        warden.history.restore(versions, stands, refused)
-        self._stored_refusals = warden.history.refusals
+        table_guard.history.restore(versions, stands, refused)
+        self._stored_refusals = table_guard.history.refusal_count
 
-    def restore_trust(self, desk: Desk) -> None:
+    def restore_trust(self, desk: ReportProcessor) -> None:
         """Restores how far each server's load reports are trusted."""
         wall = self.now()
         for name, memory in self._records_of(Kind.TRUST, TrustMemory):
-            found = recalled_trust(memory, desk.hints.doubt, wall)
+            found = recall_trust(memory, desk.hints.prior, wall)
             if found is not None and name in desk.senders:
                 desk.hints.restore(name, *found)
 
@@ -165,15 +167,17 @@
             for name, one in roster.listed.items():
                 before = self._server_starts.get(name, one.started_at)
                 self._server_starts[name] = one.started_at
-                if one.started_at != before and (payload := self.notebook.started(name, self.now())):
+                if one.started_at != before and (
+                    payload := self.notebook.record_cold_start(name, self.now())
+                ):
                     self.writer.put(Kind.SERVER, name, payload)
             for name in self._server_starts.keys() - roster.listed.keys():
                 del self._server_starts[name]
             self._put(Kind.LIST, "list", ListMemory(at=self.now(), text=roster.dump(now)))
 
-    def store_guard(self, warden: Warden) -> None:
-        history, wave = warden.history, warden.wave
-        wave_number = wave.number if wave is not None and not wave.over else -1
+    def store_guard(self, table_guard: TableGuard) -> None:
+        history, wave = table_guard.history, table_guard.wave
+        wave_number = wave.number if wave is not None and not wave.finished else -1
         seen = dict[int, tuple[str, bool, bool]]()
         for version in history.all():
             if not version.number:
@@ -191,39 +195,44 @@
             self._put(Kind.REFUSED, str(self._stored_refusals % 200), memory)
 
     def store_period(
-        self, learned: Remembered[Any], roster: Roster, warden: Warden, desk: Desk, now: int
+        self,
+        learned: LearnedState[Any],
+        roster: Roster,
+        table_guard: TableGuard,
+        desk: ReportProcessor,
+        now: int,
     ) -> None:
         """Once per control period: records what has changed enough since its last record."""
         wall = self.now()
         servers = [
-            Known(
+            ServerKnowledge(
                 one.worker.name,
                 one.worker.zone,
                 one.worker.model,
-                one.pace,
+                one.speed,
                 one.factor,
-                one.heard,
-                one.out_for // PER_MS,
-                wall + (one.out_until - now) // PER_MS if one.out_until else 0,
+                one.report_count,
+                one.exclusion_time // PER_MS,
+                wall + (one.excluded_until - now) // PER_MS if one.excluded_until else 0,
             )
             for one in learned.workers
         ]
-        for name, payload in self.notebook.learned(servers, wall):
+        for name, payload in self.notebook.update(servers, wall):
             self.writer.put(Kind.SERVER, name, payload)
-        for name in self.notebook.forget(set(self.notebook.known()) - roster.listed.keys()):
+        for name in self.notebook.forget(set(self.notebook.names()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
         self._period_count += 1
-        if self._period_count % DEMAND_RECORD_PERIODS == 0 and learned.quiet:
+        if self._period_count % DEMAND_RECORD_PERIODS == 0 and learned.calm_latency:
             mix = {product.name: part for product, part in learned.mix.items()}
-            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.quiet / PER_MS, mix=mix))
+            self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.calm_latency / PER_MS, mix=mix))
             self._store_trust(desk, wall)
-        self.store_guard(warden)
+        self.store_guard(table_guard)
         self.store_list(roster, now)
-        for name in self.journal.fade(wall):
+        for name in self.journal.expire(wall):
             self.writer.put(Kind.COMMAND, name, None)
 
-    def _store_trust(self, desk: Desk, wall: int) -> None:
-        found = desk.hints.trusts()
+    def _store_trust(self, desk: ReportProcessor, wall: int) -> None:
+        found = desk.hints.trust_sums()
         for name, sums in found.items():
             before = self._stored_trust.get(name)
             if before is None or max(abs(a - b) for a, b in zip(before, sums, strict=True)) > 0.02:
@@ -240,15 +249,15 @@
 
     def flush(self) -> Deferred[None]:
         """Fires once everything recorded so far is on disk."""
-        return self.writer.sure()
+        return self.writer.flush()
 
     def _put(self, kind: Kind, key: str, message: Any) -> None:
         self.writer.put(kind, key, message.SerializeToString())
 
-    def _listed_servers(self, roster: Roster, now: int) -> dict[str, Standing]:
+    def _listed_servers(self, roster: Roster, now: int) -> dict[str, ListedServer]:
         wall = self.now()
         return {
-            name: Standing(
+            name: ListedServer(
                 one.server.zone,
                 one.server.model,
                 wall - (now - one.started_at) // PER_MS if one.started_at else 0,
--- a/rushladder/service/exchange.py
+++ b/rushladder/service/probing.py
@@ -28,7 +28,7 @@
 
 def _said(code: int) -> ProbeResult:
     if code in TURNED_AWAY:
-        return ProbeResult.TURNED_AWAY
+        return ProbeResult.REJECTED
     return ProbeResult.OK if code < 400 else ProbeResult.ERROR
 
 
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -10,27 +10,27 @@
 from twisted.internet import endpoints, reactor as _reactor, threads
 from twisted.internet.defer import Deferred
 
-from rushladder.catalog.client import CONNECT_MOST
+from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS
 from rushladder.conf.grammar import Address
 from rushladder.conf.objects import GatewayConfig, ManagerConfig
 from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
 from rushladder.dnsfront.ports import Streams as DnsStreams
-from rushladder.intake.agent import Agent
-from rushladder.intake.lane import Keeper, open_door
-from rushladder.intake.ports import AgentCheck, Streams
+from rushladder.intake.agent import AgentStatus
+from rushladder.intake.receiver import ReceiverSupervisor, bind_report_socket
+from rushladder.intake.ports import AgentCheck, ReportStreams
 from rushladder.interface import Availability
 from rushladder.peers.link import PeerLink
 from rushladder.runtime.endpoint import RuntimeClient, RuntimeFactory
 from rushladder.service.api import command_table
-from rushladder.service.exchange import HealthProber
+from rushladder.service.probing import HealthProber
 from rushladder.service.logs import make_log
 from rushladder.service.manager import Manager
 from rushladder.service.persistence import Persistence
-from rushladder.store.files import Disk, Locked
-from rushladder.store.log import Log, Refused
-from rushladder.store.memory import MINORS, fleet_of
+from rushladder.store.files import Disk, FolderLocked
+from rushladder.store.log import Log, IncompatibleStore
+from rushladder.store.memory import MINORS, fleet_id
 from rushladder.store.writer import Writer
-from rushladder.timing import tenths
+from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
 SAVE_INTERVAL_SECONDS = 0.2  # between two checks whether the list has changed: many changes become one write
@@ -102,10 +102,10 @@
         return None, ""
     try:
         disk = Disk(config.memory)
-        fleet = fleet_of(config.regions, [product.name for product in config.products])
+        fleet = fleet_id(config.regions, [product.name for product in config.products])
         log = Log(disk, fleet, config.identity.name, MINORS, wall=lambda: int(1000 * time.time()))
         log.open()
-    except (OSError, Locked, Refused) as error:
+    except (OSError, FolderLocked, IncompatibleStore) as error:
         return None, str(error)
     writer = Writer(log, reactor, threads.deferToThread, lambda reason: None)
     return Persistence(log, writer, reactor, time.time), ""
@@ -123,14 +123,14 @@
             config,
             reactor,
             dial,
-            HealthProber(reactor, HEALTH_PATH, CONNECT_MOST) if config.may_probe else None,
+            HealthProber(reactor, HEALTH_PATH, CONNECT_TIMEOUT_SECONDS) if config.may_probe else None,
             log,
             restored,
             age,
             memory=memory,
         )
         if memory is not None:
-            memory.writer.on_fault = self.manager.record_error
+            memory.writer.on_error = self.manager.record_error
             for damage in memory.opened.damage:
                 self.manager.record_error(f"set aside in {config.memory}: {damage}")
         elif reason:
@@ -169,11 +169,13 @@
             await server_endpoint(address).listen(DnsStreams(front, reactor))
         for kind, address in self._config.report_listeners:
             if kind == "udp":
-                receiver = Keeper(self.manager.desk, open_door(address), self.manager.record_error)
+                receiver = ReceiverSupervisor(
+                    self.manager.desk, bind_report_socket(address), self.manager.record_error
+                )
                 receiver.start()
                 self.manager.lanes.append(receiver)
             else:
-                await server_endpoint(address).listen(Streams(self.manager.desk, reactor))
+                await server_endpoint(address).listen(ReportStreams(self.manager.desk, reactor))
         for site in self._config.collectors:
             if site.agent is not None:
                 self._check_agent(site.name, site.agent)
@@ -196,12 +198,12 @@
             return
         check = AgentCheck()
 
-        def on_answer(answer: Agent) -> None:
-            self.manager.desk.asked(name, answer, tenths(reactor))
+        def on_answer(answer: AgentStatus) -> None:
+            self.manager.desk.record_agent_check(name, answer, clock_tenths(reactor))
             state = AGENT_STATES.get(answer.admin or "")
             if state is not None and name in self.manager.roster.listed:
                 self.manager.apply_list_change(
-                    self.manager.roster.change(name, tenths(reactor), availability=state)
+                    self.manager.roster.change(name, clock_tenths(reactor), availability=state)
                 )
 
         def on_failure(failure: Any) -> None:
@@ -226,7 +228,7 @@
         roster = self.manager.roster
         if self._list_file is not None and (roster.version != self.manager.saved_version):
             try:
-                self._list_file.write(roster.dump(tenths(reactor)))
+                self._list_file.write(roster.dump(clock_tenths(reactor)))
                 self.manager.saved_version = roster.version
             except OSError as error:
                 self.manager.record_error(f"the list could not be saved: {error}")
--- a/rushladder/store/commands.py
+++ b/rushladder/store/commands.py
@@ -15,21 +15,24 @@
 from rushladder.store.memory import COMMAND_ENDS, COMMANDS
 from rushladder.store.store_pb2 import CommandMemory
 
-LONGEST_ID, LONGEST = 64, 4096  # characters of an id, and of a command's words: a version's line of factors
+MAX_ID_LENGTH, MAX_COMMAND_LENGTH = (
+    64,
+    4096,
+)  # characters of an id, and of a command's words: a version's line of factors
 
 # Commands that change nothing the second time: one cut short by a crash may be carried out again.
-REPEATABLE = {
+IDEMPOTENT = {
     ("set", "server"),
     ("enable", "server"),
     ("disable", "server"),
     ("add", "server"),
     ("set", "weight"),
 }
-SURE_MOST = 5.0  # s for a note to survive: a slow disk's worst sync, and less than a client's patience
+DURABLE_TIMEOUT = 5.0  # s for a note to survive: a slow disk's worst sync, and less than a client's patience
 
 
-def repeatable(verb: tuple[str, ...]) -> bool:
-    return verb in REPEATABLE or verb[0] == "show"
+def is_idempotent(verb: tuple[str, ...]) -> bool:
+    return verb in IDEMPOTENT or verb[0] == "show"
 
 
 class State(Enum):
@@ -85,7 +88,7 @@
 
     def __init__(self, kept: Iterable[tuple[str, CommandMemory]] = (), now: int = 0) -> None:
         self._noted = dict[str, Noted]()
-        self.from_record = self.unknown = 0
+        self.answered_from_journal = self.unknown_outcomes = 0
         for name, memory in sorted(kept, key=lambda pair: pair[1].at):
             if now - memory.at < COMMAND_ENDS:
                 state = State.ANSWERED if memory.answered else State.CUT_SHORT
@@ -97,30 +100,30 @@
     def __getitem__(self, name: str) -> Noted:
         return self._noted[name]
 
-    def begin(self, name: str, words: str, repeatable: bool, now: int) -> Effect:
+    def begin(self, name: str, words: str, idempotent: bool, now: int) -> Effect:
         """What to do with a command that came under an id; where it is to run, it is noted as running."""
         noted = self._noted.get(name)
         state = State.NEW if noted is None else noted.state
-        sign = Sign.REPEATABLE if repeatable else Sign.ONCE
+        sign = Sign.REPEATABLE if idempotent else Sign.ONCE
         if noted is not None and noted.words != words:
             sign = Sign.OTHER
         effect = EFFECTS[state, sign]
-        self.from_record += effect is Effect.ANSWER
-        self.unknown += effect is Effect.UNKNOWN
+        self.answered_from_journal += effect is Effect.ANSWER
+        self.unknown_outcomes += effect is Effect.UNKNOWN
         if effect is Effect.RUN:
             self._noted[name] = Noted(words, now, State.RUNNING)
         return effect
 
-    def answered(self, name: str, answer: str) -> Noted:
+    def record_answer(self, name: str, answer: str) -> Noted:
         noted = self._noted[name]
         noted.state, noted.answer = State.ANSWERED, answer
         return noted
 
-    def never_ran(self, name: str) -> None:
+    def cancel(self, name: str) -> None:
         """It could not be noted, and was not run: the id is free again."""
         self._noted.pop(name, None)
 
-    def fade(self, now: int) -> list[str]:
+    def expire(self, now: int) -> list[str]:
         """Forgets what is too old or too much; the ids that are gone."""
         done = [name for name, noted in self._noted.items() if noted.state is not State.RUNNING]
         over = max(0, len(self._noted) - COMMANDS)
--- a/rushladder/store/files.py
+++ b/rushladder/store/files.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-class Locked(Exception):
+class FolderLocked(Exception):
     """Another process writes in this folder."""
 
 
@@ -51,7 +51,7 @@
             except BlockingIOError:
                 os.close(self._lock)
                 self._lock = -1
-                raise Locked(f"{path}: another process writes here") from None
+                raise FolderLocked(f"{path}: another process writes here") from None
 
     def close(self) -> None:
         for handle in self._open.values():
--- a/rushladder/store/frames.py
+++ b/rushladder/store/frames.py
@@ -39,7 +39,7 @@
     why: str
 
 
-def frame(record: Record) -> bytes:
+def encode_frame(record: Record) -> bytes:
     """Raises ValueError for a record that no reader would take."""
     key = record.key.encode()
     flags, payload = (DELETED, b"") if record.payload is None else (0, record.payload)
@@ -50,7 +50,7 @@
     return MARK + length + struct.pack(">I", google_crc32c.value(length + body)) + body
 
 
-def frames(data: bytes) -> Iterator[Record | Damage]:
+def decode_frames(data: bytes) -> Iterator[Record | Damage]:
     """What stands in the bytes, in their order. Never raises, whatever they are."""
     at, bad_from, why = 0, -1, ""
     while at < len(data):
--- a/rushladder/store/log.py
+++ b/rushladder/store/log.py
@@ -20,7 +20,7 @@
 from google.protobuf.message import DecodeError
 
 from rushladder.store.files import Folder
-from rushladder.store.frames import FOOTER_KIND, HEADER_KIND, Damage, Record, frame, frames
+from rushladder.store.frames import FOOTER_KIND, HEADER_KIND, Damage, Record, encode_frame, decode_frames
 from rushladder.store.store_pb2 import Footer, Header
 
 MAJOR, MINOR = 1, 0
@@ -37,11 +37,11 @@
 Migrations = Mapping[tuple[int, int], Callable[[bytes], bytes]]
 
 
-class Refused(Exception):
+class IncompatibleStore(Exception):
     """A folder that is not ours to write in: of another fleet or manager, or of a later major version."""
 
 
-class Step(Enum):
+class FileState(Enum):
     """What a file proved to be when it was read."""
 
     WHOLE = "whole"
@@ -53,7 +53,7 @@
 
 # Files that are moved out of the way once what is good of them stands in a new snapshot. A torn end is what a
 # crash leaves and holds nothing that was acknowledged.
-SET_ASIDE = {Step.DAMAGED, Step.HEADLESS, Step.HALF}
+SET_ASIDE = {FileState.DAMAGED, FileState.HEADLESS, FileState.HALF}
 
 
 @attrs.frozen
@@ -61,7 +61,7 @@
     """One file as it was read."""
 
     name: str
-    step: Step
+    state: FileState
     records: Sequence[Record]
     first: int
     created: int
@@ -79,35 +79,37 @@
     skipped: int = 0  # of a newer minor version, or of a kind not known
     gaps: int = 0  # numbers missing between records that are there: acknowledged ones may be lost
     damage: list[str] = attrs.field(factory=list)
-    read: list[str] = attrs.field(factory=list)  # files; older ones, which a snapshot stands for, are not
+    files_read: list[str] = attrs.field(
+        factory=list
+    )  # files; older ones, which a snapshot stands for, are not
     written_at: int = 0  # ms of the wall clock when the newest file was begun
 
 
 def read_file(name: str, data: bytes) -> Found:
     """Judges one file. Never raises."""
     records, damage = list[Record](), list[Damage]()
-    for part in frames(data):
+    for part in decode_frames(data):
         if isinstance(part, Damage):
             damage.append(part)
         else:
             records.append(part)
     header = _header(records, damage)
     if header is None and not records and all(part.why.startswith("torn") for part in damage):
-        return Found(name, Step.TORN, (), 0, 0, len(data))  # begun, and not synced
+        return Found(name, FileState.TORN, (), 0, 0, len(data))  # begun, and not synced
     if header is None:
-        return Found(name, Step.HEADLESS, (), 0, 0, len(data), "its first frame is no header")
+        return Found(name, FileState.HEADLESS, (), 0, 0, len(data), "its first frame is no header")
     why = "; ".join(f"{one.many} bytes at {one.at}: {one.why}" for one in damage[:3])
     records = records[1:]
-    step = Step.WHOLE
+    step = FileState.WHOLE
     if name.startswith("snap-"):
         if damage or not records or not _closes(records[-1], len(records) - 1):
-            step = Step.HALF
+            step = FileState.HALF
             why = why or "its last frame is no footer"
         records = records[:-1]
     elif damage:
         last = damage[-1]
         torn = len(damage) == 1 and last.at + last.many == len(data)
-        step = Step.TORN if torn else Step.DAMAGED
+        step = FileState.TORN if torn else FileState.DAMAGED
     return Found(name, step, records, header.first, header.created, len(data), why)
 
 
@@ -127,13 +129,13 @@
         return False
 
 
-def header_of(data: bytes) -> Header | None:
+def read_header(data: bytes) -> Header | None:
     """The header of a file's bytes; None where they begin with none."""
-    first = next(iter(frames(data)), None)
+    first = next(iter(decode_frames(data)), None)
     return _header([first], []) if isinstance(first, Record) else None
 
 
-def number_of(name: str) -> int | None:
+def file_number(name: str) -> int | None:
     """The number of a segment or snapshot; None for any other file."""
     kind, _, digits = name.partition("-")
     return int(digits) if kind in ("log", "snap") and len(digits) == 16 and digits.isdigit() else None
@@ -154,10 +156,10 @@
         migrations: Migrations | None = None,
         wall: Callable[[], int] = lambda: 0,
         *,
-        segment: int = SEGMENT,
-        least: int = LEAST,
+        segment_bytes: int = SEGMENT,
+        min_snapshot_bytes: int = LEAST,
     ) -> None:
-        self._longest, self._least = segment, least
+        self._longest, self._least = segment_bytes, min_snapshot_bytes
         self._folder, self._fleet, self._manager = folder, fleet, manager
         self._minors, self._migrations, self._wall = minors, migrations or {}, wall
         self.state = dict[Key, bytes]()
@@ -179,9 +181,9 @@
         for name in names:
             if name.endswith(".new"):
                 self._folder.remove(name)  # half a snapshot: what it would have stood for is still there
-        numbers = [number for name in names if (number := number_of(name)) is not None]
+        numbers = [number for name in names if (number := file_number(name)) is not None]
         self.segment = max(numbers, default=0)
-        bad = [one for one in found.values() if one.step in SET_ASIDE]
+        bad = [one for one in found.values() if one.state in SET_ASIDE]
         self._begin()
         if bad:
             # First what is good of them on new ground, then out of the way, then what is not needed any more.
@@ -196,45 +198,47 @@
         found, since = dict[str, Found](), 0
         for kind in ("snap-", "log-"):
             for name in sorted((name for name in names if name.startswith(kind)), reverse=True):
-                number = number_of(name)
+                number = file_number(name)
                 if number is None or number < since:
                     continue
                 data = self._folder.read(name)
                 self._ours(name, data)
                 found[name] = read_file(name, data)
-                if kind == "snap-" and found[name].step is Step.WHOLE:
+                if kind == "snap-" and found[name].state is FileState.WHOLE:
                     since = number
         return found
 
     def _ours(self, name: str, data: bytes) -> None:
-        header = header_of(data)
+        header = read_header(data)
         if header is None:
             return  # never trusted, and set aside
         if header.major > MAJOR:
-            raise Refused(f"{name} is of version {header.major}.{header.minor}; up to {MAJOR}.x can be read")
+            raise IncompatibleStore(
+                f"{name} is of version {header.major}.{header.minor}; up to {MAJOR}.x can be read"
+            )
         for what, theirs, ours in (
             ("fleet", header.fleet, self._fleet),
             ("manager", header.manager, self._manager),
         ):
             if theirs != ours:
-                raise Refused(f"{name} is of {what} {theirs!r}, not of {ours!r}")
+                raise IncompatibleStore(f"{name} is of {what} {theirs!r}, not of {ours!r}")
 
     def _take(self, names: Sequence[str], found: Mapping[str, Found]) -> None:
         """The newest whole snapshot, then each segment from its number on."""
         opened = self.opened
         snaps = sorted((one for one in found.values() if one.name.startswith("snap-")), key=lambda f: f.name)
-        base = next((one for one in reversed(snaps) if one.step is Step.WHOLE), None)
+        base = next((one for one in reversed(snaps) if one.state is FileState.WHOLE), None)
         since = 0
         if base is not None:
-            opened.snapshot, since, self._snapshot_bytes = base.name, number_of(base.name) or 0, base.bytes
+            opened.snapshot, since, self._snapshot_bytes = base.name, file_number(base.name) or 0, base.bytes
             self._apply(base.records)
             self.next = base.first
         # Elder snapshots stay until two newer ones stand for them, read or not.
-        elder = (number_of(name) for name in names if name.startswith("snap-") and name not in found)
+        elder = (file_number(name) for name in names if name.startswith("snap-") and name not in found)
         self._snapshots.extend(sorted({since, *(number for number in elder if number is not None)} - {0}))
         logs = sorted((one for one in found.values() if one.name.startswith("log-")), key=lambda f: f.name)
         for one in logs:
-            if (number_of(one.name) or 0) >= since:
+            if (file_number(one.name) or 0) >= since:
                 opened.segments += 1
                 self._live += one.bytes
                 self._apply(one.records)
@@ -246,8 +250,8 @@
                     # written.
                     opened.gaps += max(0, number - self.next) * (one is not logs[-1])
                     self.next = max(self.next, number + 1)
-        opened.read = sorted(found)
-        opened.damage = [f"{one.name}: {one.step.value}: {one.why}" for one in found.values() if one.why]
+        opened.files_read = sorted(found)
+        opened.damage = [f"{one.name}: {one.state.value}: {one.why}" for one in found.values() if one.why]
         opened.written_at = max((one.created for one in found.values()), default=0)
 
     def _apply(self, records: Iterable[Record]) -> None:
@@ -287,7 +291,7 @@
         self._pending[name] = payload
         return True
 
-    def drop(self, kind: int, key: str) -> None:
+    def delete(self, kind: int, key: str) -> None:
         if self.state.pop((kind, key), None) is not None:
             self._pending[kind, key] = None
 
@@ -302,7 +306,7 @@
         if not batch:
             return 0
         data = b"".join(
-            frame(Record(self.next + k, kind, self._minors.get(kind, 0), key, payload))
+            encode_frame(Record(self.next + k, kind, self._minors.get(kind, 0), key, payload))
             for k, ((kind, key), payload) in enumerate(batch)
         )
         try:
@@ -326,7 +330,7 @@
         return len(batch)
 
     @property
-    def due(self) -> bool:
+    def snapshot_due(self) -> bool:
         """Whether a snapshot is worth its cost."""
         return self._live > max(self._least, GROWTH * self._snapshot_bytes)
 
@@ -342,11 +346,11 @@
         name = self._name("snap", number)
         parts = [self._header()]
         parts += [
-            frame(Record(self.next - 1, kind, self._minors.get(kind, 0), key, payload))
+            encode_frame(Record(self.next - 1, kind, self._minors.get(kind, 0), key, payload))
             for (kind, key), payload in state.items()
         ]
         footer = Footer(records=len(state)).SerializeToString()
-        parts.append(frame(Record(self.next - 1, FOOTER_KIND, 0, "", footer)))
+        parts.append(encode_frame(Record(self.next - 1, FOOTER_KIND, 0, "", footer)))
         data = b"".join(parts)
         new = f"{name}.new"
         for half in [half for half in self._folder.names() if half.endswith(".new")]:
@@ -365,7 +369,7 @@
             self._snapshots.popleft()
         oldest = self._snapshots[0] if len(self._snapshots) == 2 else 0
         for name in self._folder.names():
-            number = number_of(name)
+            number = file_number(name)
             if number is not None and number < oldest:
                 self._folder.remove(name)
 
@@ -387,11 +391,11 @@
             created=self._wall(),
             first=self.next,
         )
-        return frame(Record(0, HEADER_KIND, 0, "", header.SerializeToString()))
+        return encode_frame(Record(0, HEADER_KIND, 0, "", header.SerializeToString()))
 
     def _aside(self, one: Found) -> None:
         kept = [name for name in self._folder.names() if name.startswith("aside-")]
-        self._folder.rename(one.name, f"aside-{self.segment:016d}-{one.step.name.lower()}-{one.name}")
+        self._folder.rename(one.name, f"aside-{self.segment:016d}-{one.state.name.lower()}-{one.name}")
         for name in sorted(kept)[: max(0, len(kept) + 1 - ASIDE)]:
             self._folder.remove(name)
 
--- a/rushladder/store/memory.py
+++ b/rushladder/store/memory.py
@@ -37,7 +37,7 @@
 SECOND, MINUTE, HOUR, DAY = 1000, 60_000, 3_600_000, 86_400_000
 
 
-def fleet_of(regions: Iterable[str], products: Iterable[str]) -> str:
+def fleet_id(regions: Iterable[str], products: Iterable[str]) -> str:
     """Whose memory it is: another set of regions or products is another fleet."""
     return f"{','.join(sorted(regions))} {','.join(sorted(products))}"
 
@@ -52,27 +52,27 @@
 
 
 @attrs.frozen
-class Fade:
+class Decay:
     """Milliseconds: after half a life it counts half, after its end nothing."""
 
     half: int
     end: int
 
 
-FADES = {
+DECAYS = {
     # A machine stays as fast as it is, but its neighbours change by the hour and its build by the week.
-    Aspect.PACE: Fade(6 * HOUR, 7 * DAY),
+    Aspect.PACE: Decay(6 * HOUR, 7 * DAY),
     # Troubles last for seconds to minutes; the module doubles the time out within half a minute of a relapse.
-    Aspect.SICK: Fade(30 * SECOND, 5 * MINUTE),
+    Aspect.SICK: Decay(30 * SECOND, 5 * MINUTE),
     # Demand doubles within an hour on a busy day; a few minutes ago is a good guess, yesterday is none.
-    Aspect.DEMAND: Fade(10 * MINUTE, HOUR),
+    Aspect.DEMAND: Decay(10 * MINUTE, HOUR),
     # A reporter changes with its software.
-    Aspect.TRUST: Fade(2 * HOUR, DAY),
+    Aspect.TRUST: Decay(2 * HOUR, DAY),
 }
 # The clock may be set by so much between two lives, as time servers do without a word.
-SLACK = 5 * SECOND
+CLOCK_SLACK = 5 * SECOND
 # Reports that a memory counts for when it is fresh: as many as make the module's own step its smallest.
-REPORTS = 9.0
+FRESH_REPORTS = 9.0
 # A remembered pace has come true if the measured one is within a fifth of it: half of the spread of machines.
 TRUE = 0.2
 # Of the count of what came true, kept at each restart: about ten restarts back.
@@ -81,7 +81,7 @@
 LEAST = 0.001
 # By how much a gateway's epoch begins above what is remembered, as claims in a lost tail are not: a claim
 # takes two seconds, and no crash loses minutes.
-LEAP = 100
+EPOCH_MARGIN = 100
 # Commands of which the answer is kept, and for how long: a script that repeats one does so within minutes.
 COMMANDS, COMMAND_ENDS = 1000, DAY
 REFUSALS = 200  # as the guard's own history keeps
@@ -89,7 +89,7 @@
 MOVES, STALE = 0.05, 5 * MINUTE
 
 
-class Sign(Enum):
+class Validity(Enum):
     """What is odd about a memory of a server."""
 
     FINE = "nothing"
@@ -105,29 +105,29 @@
 
 
 USES = {
-    Sign.FINE: Use.FULL,
-    Sign.AHEAD: Use.NONE,
-    Sign.ENDED: Use.NONE,
-    Sign.OTHER: Use.NONE,
-    Sign.RESTARTED: Use.NONE,
+    Validity.FINE: Use.FULL,
+    Validity.AHEAD: Use.NONE,
+    Validity.ENDED: Use.NONE,
+    Validity.OTHER: Use.NONE,
+    Validity.RESTARTED: Use.NONE,
 }
 
 
-def weight(aspect: Aspect, age: int) -> float:
+def decay_weight(aspect: Aspect, age: int) -> float:
     """From 1 (now) to 0; 0 for what is from the future by more than a clock's slack."""
-    fade = FADES[aspect]
-    if age < -SLACK or age >= fade.end:
+    fade = DECAYS[aspect]
+    if age < -CLOCK_SLACK or age >= fade.end:
         return 0.0
     return math.exp2(-max(0, age) / fade.half)
 
 
-def proven(right: float, wrong: float) -> float:
+def reliability(right: float, wrong: float) -> float:
     """How far memories of a server have come true: wholly until more have failed than held."""
     return min(1.0, (right + 1.0) / (wrong + 1.0))
 
 
 @attrs.frozen
-class Known:
+class ServerKnowledge:
     """A server as the module knows it, or as it comes back. Times: milliseconds, out_until by the wall
     clock."""
 
@@ -148,7 +148,7 @@
 
 
 @attrs.frozen
-class Standing:
+class ListedServer:
     """What the list says of a server now; started: by the wall clock, 0 where it is long ago."""
 
     region: str
@@ -159,7 +159,7 @@
 M = TypeVar("M", bound=Message)
 
 
-def read(message: type[M], payload: bytes) -> M | None:
+def parse_record(message: type[M], payload: bytes) -> M | None:
     """A record's message; None where it is none, which the checksum makes all but impossible."""
     try:
         return message.FromString(payload)
@@ -167,24 +167,26 @@
         return None
 
 
-def sign_of(memory: ServerMemory, standing: Standing | None, now: int) -> Sign:
+def sign_of(memory: ServerMemory, standing: ListedServer | None, now: int) -> Validity:
     age = now - memory.at
     if standing is None or (standing.region, standing.model) != (memory.region, memory.model):
-        return Sign.OTHER
-    if age < -SLACK:
-        return Sign.AHEAD
-    if age >= FADES[Aspect.PACE].end:
-        return Sign.ENDED
-    return Sign.RESTARTED if standing.started > memory.at else Sign.FINE
+        return Validity.OTHER
+    if age < -CLOCK_SLACK:
+        return Validity.AHEAD
+    if age >= DECAYS[Aspect.PACE].end:
+        return Validity.ENDED
+    return Validity.RESTARTED if standing.started > memory.at else Validity.FINE
 
 
-def recalled(name: str, memory: ServerMemory, standing: Standing | None, now: int) -> Known | None:
+def recall_server(
+    name: str, memory: ServerMemory, standing: ListedServer | None, now: int
+) -> ServerKnowledge | None:
     """What a memory of a server still says; None for nothing."""
     if USES[sign_of(memory, standing, now)] is Use.NONE:
         return None
     age = now - memory.at
-    counts = weight(Aspect.PACE, age) * proven(memory.right, memory.wrong)
-    sick = weight(Aspect.SICK, age) if memory.out_for else 0.0
+    counts = decay_weight(Aspect.PACE, age) * reliability(memory.right, memory.wrong)
+    sick = decay_weight(Aspect.SICK, age) if memory.out_for else 0.0
     if max(counts, sick) < LEAST or not _sane(memory):
         return None
     pace, factor, out_for = memory.pace**counts, memory.factor**counts, 0
@@ -193,7 +195,9 @@
         if memory.out_until > now:
             # It was out when the manager died: tried out again as if it had just come back.
             factor = min(factor, 0.2 ** min(1.0, 2 * sick))
-    return Known(name, memory.region, memory.model, pace, factor, REPORTS * counts, out_for, memory.out_until)
+    return ServerKnowledge(
+        name, memory.region, memory.model, pace, factor, FRESH_REPORTS * counts, out_for, memory.out_until
+    )
 
 
 def _sane(memory: ServerMemory) -> bool:
@@ -208,9 +212,9 @@
     )
 
 
-def recalled_demand(memory: DemandMemory, products: Iterable[str], now: int) -> Demand | None:
+def recall_demand(memory: DemandMemory, products: Iterable[str], now: int) -> Demand | None:
     """What was asked for, drawn towards nothing known (even parts) by its age; None where it says nothing."""
-    counts = weight(Aspect.DEMAND, now - memory.at)
+    counts = decay_weight(Aspect.DEMAND, now - memory.at)
     names = list(products)
     total = sum(memory.mix.get(name, 0.0) for name in names)
     if counts < 0.05 or not math.isfinite(total) or total <= 0 or set(memory.mix) != set(names):
@@ -222,9 +226,9 @@
     return Demand(quiet, mix) if min(mix.values()) >= 0 else None
 
 
-def recalled_trust(memory: TrustMemory, doubt: float, now: int) -> tuple[float, float, float, float] | None:
+def recall_trust(memory: TrustMemory, doubt: float, now: int) -> tuple[float, float, float, float] | None:
     """both, told, met and cried, faded towards what a stranger has (`doubt`)."""
-    counts = weight(Aspect.TRUST, now - memory.at)
+    counts = decay_weight(Aspect.TRUST, now - memory.at)
     figures = (memory.both, memory.told, memory.met, memory.cried)
     if counts < LEAST or not all(math.isfinite(figure) for figure in figures) or min(figures[1:3]) <= 0:
         return None
@@ -232,28 +236,28 @@
     return counts * both, doubt + counts * (told - doubt), doubt + counts * (met - doubt), counts * cried
 
 
-def came_true(remembered: Known, measured: Known) -> bool | None:
+def came_true(remembered: ServerKnowledge, measured: ServerKnowledge) -> bool | None:
     """Whether a remembered pace has come true; None while too little was heard to tell."""
-    if measured.heard < remembered.heard + REPORTS or remembered.heard < 1:
+    if measured.heard < remembered.heard + FRESH_REPORTS or remembered.heard < 1:
         return None
     return abs(math.log(measured.pace / remembered.pace)) < TRUE
 
 
-class Notebook:
+class ServerRecords:
     """What is to be written: the newest of each thing, and only where it has changed enough to matter."""
 
     def __init__(self, state: Mapping[Key, bytes]) -> None:
         self._servers = dict[str, ServerMemory]()
-        self._remembered = dict[str, Known]()
+        self._remembered = dict[str, ServerKnowledge]()
         for (kind, name), payload in state.items():
-            if kind == Kind.SERVER and (memory := read(ServerMemory, payload)) is not None:
+            if kind == Kind.SERVER and (memory := parse_record(ServerMemory, payload)) is not None:
                 self._servers[name] = memory
 
-    def recall(self, standings: Mapping[str, Standing], now: int) -> list[Known]:
+    def recall(self, standings: Mapping[str, ListedServer], now: int) -> list[ServerKnowledge]:
         """What the servers of the list come back with; remembered, to see later whether it was true."""
-        found = list[Known]()
+        found = list[ServerKnowledge]()
         for name, memory in self._servers.items():
-            known = recalled(name, memory, standings.get(name), now)
+            known = recall_server(name, memory, standings.get(name), now)
             if known is not None:
                 found.append(known)
                 self._remembered[name] = known
@@ -261,14 +265,14 @@
             memory.wrong *= KEEPS
         return found
 
-    def signs(self, standings: Mapping[str, Standing], now: int) -> dict[Sign, int]:
+    def count_by_validity(self, standings: Mapping[str, ListedServer], now: int) -> dict[Validity, int]:
         """How many memories there are of each sign."""
-        counts = dict.fromkeys(Sign, 0)
+        counts = dict.fromkeys(Validity, 0)
         for name, memory in self._servers.items():
             counts[sign_of(memory, standings.get(name), now)] += 1
         return counts
 
-    def learned(self, servers: Iterable[Known], now: int) -> list[tuple[str, bytes]]:
+    def update(self, servers: Iterable[ServerKnowledge], now: int) -> list[tuple[str, bytes]]:
         """The records of servers whose knowledge has moved, or is about to grow old."""
         changed = list[tuple[str, bytes]]()
         for known in servers:
@@ -298,7 +302,7 @@
             changed.append((known.name, memory.SerializeToString()))
         return changed
 
-    def started(self, name: str, now: int) -> bytes | None:
+    def record_cold_start(self, name: str, now: int) -> bytes | None:
         """A cold start of a server that is known: its speed is that of another process now."""
         memory = self._servers.get(name)
         if memory is None:
@@ -316,11 +320,11 @@
             self._remembered.pop(name, None)
         return gone
 
-    def known(self) -> list[str]:
+    def names(self) -> list[str]:
         return list(self._servers)
 
 
-def _moved(before: ServerMemory, known: Known, now: int) -> bool:
+def _moved(before: ServerMemory, known: ServerKnowledge, now: int) -> bool:
     return (
         abs(known.pace - before.pace) > MOVES * before.pace
         or abs(known.factor - before.factor) > MOVES * before.factor
--- a/rushladder/store/writer.py
+++ b/rushladder/store/writer.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from rushladder.store.log import KEYS, Key, Log
-from rushladder.timing import Call, Clock
+from rushladder.timing import Clock, DelayedCall
 
 GATHER = 0.05  # s in which puts gather: twenty syncs a second at the most, and an answer waits for one
 FIRST_WAIT, LONGEST_WAIT = 0.5, 30.0  # s before a disk that failed is tried again
@@ -25,12 +25,12 @@
 class Writer:
     """in_thread: calls a function off the reactor, and fires with its result, as `deferToThread` does."""
 
-    def __init__(self, log: Log, clock: Clock, in_thread: InThread, on_fault: Callable[[str], None]) -> None:
-        self.log, self._clock, self._in_thread, self.on_fault = log, clock, in_thread, on_fault
+    def __init__(self, log: Log, clock: Clock, in_thread: InThread, on_error: Callable[[str], None]) -> None:
+        self.log, self._clock, self._in_thread, self.on_error = log, clock, in_thread, on_error
         self._waiting = dict[Key, bytes | None]()
         self._acks, self._written = list[Deferred[None]](), list[Deferred[None]]()
         self._busy, self._wait = False, 0.0  # until the next try, where the last one failed
-        self._later: Call | None = None
+        self._later: DelayedCall | None = None
         self._done = list[Deferred[None]]()
         self._stopping = False
         self.batches, self.records, self.refused, self.last = 0, 0, 0, 0.0
@@ -39,7 +39,7 @@
         return len(self._waiting)
 
     @property
-    def behind(self) -> bool:
+    def failing(self) -> bool:
         """Whether the disk has failed and not yet been seen to work again."""
         return self._wait > 0
 
@@ -52,7 +52,7 @@
         self._waiting[name] = payload
         self._soon()
 
-    def sure(self) -> Deferred[None]:
+    def flush(self) -> Deferred[None]:
         """Fires once all that was put so far survives a power cut."""
         ack: Deferred[None] = Deferred()
         if not self._waiting and not self._busy:
@@ -83,7 +83,7 @@
         self._written, self._acks = self._acks, []
         self._busy = True
         self.last = self._clock.seconds()
-        written = self._in_thread(carry_out, self.log, batch)
+        written = self._in_thread(write_batch, self.log, batch)
         written.addCallbacks(self._wrote, self._failed, errbackArgs=(batch,))
 
     def _wrote(self, result: tuple[int, int]) -> None:
@@ -100,14 +100,14 @@
     def _failed(self, failure: Any, batch: Batch) -> None:
         """The batch is pending in the log, or goes back under what came since."""
         self._wait = min(LONGEST_WAIT, 2 * self._wait or FIRST_WAIT)
-        self.on_fault(f"what was learned could not be kept: {failure.value}; tried again in {self._wait:g} s")
+        self.on_error(f"what was learned could not be kept: {failure.value}; tried again in {self._wait:g} s")
         self._waiting = {**batch, **self._waiting}
         self._acks = self._written + self._acks
         self._busy, self._written = False, []
         self._ended()
 
     def _ended(self) -> None:
-        if self._stopping and (not self._waiting or self.behind):
+        if self._stopping and (not self._waiting or self.failing):
             done, self._done = self._done, []
             for one in done:
                 one.callback(None)
@@ -115,15 +115,15 @@
             self._soon() if not self._stopping else self._write()
 
 
-def carry_out(log: Log, batch: Batch) -> tuple[int, int]:
+def write_batch(log: Log, batch: Batch) -> tuple[int, int]:
     """In the thread: one batch, and a snapshot where one is due. Raises OSError."""
     refused = 0
     for (kind, key), payload in batch.items():
         if payload is None:
-            log.drop(kind, key)
+            log.delete(kind, key)
         else:
             refused += not log.put(kind, key, payload)
     records = log.commit()
-    if log.due:
+    if log.snapshot_due:
         log.snapshot()
     return records, refused
--- a/rushladder/streams/account.py
+++ b/rushladder/streams/account.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rushladder.timing import TENTHS
+from rushladder.timing import TENTHS_PER_SECOND
 
 
 class Purpose(Enum):
@@ -40,7 +40,7 @@
     millisecond on the caller's clock."""
 
     def __init__(self, lines_per_s: float, head: float) -> None:
-        self._pace, self._head = lines_per_s / TENTHS, head
+        self._pace, self._head = lines_per_s / TENTHS_PER_SECOND, head
         self._queue, self._at = 0.0, 0
         self._lines, self._messages, self._most = dict.fromkeys(Purpose, 0.0), 0, 0.0
 
--- a/rushladder/streams/codec.py
+++ b/rushladder/streams/codec.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rushladder.conf.birth import PER_TENTH
+from rushladder.conf.startup_settings import MICROS_PER_TENTH
 
 ENDING = b"\r\n"
 MOST = 1 << 20  # bytes of a message: the protocol's own limit
@@ -111,7 +111,7 @@
     value = _number(text)
     if value > LONGEST:
         raise ValueError(f"up to {LONGEST:g} ms")
-    return round(value * 1000) // PER_TENTH
+    return round(value * 1000) // MICROS_PER_TENTH
 
 
 def _covered(text: str) -> int:
--- a/rushladder/streams/front.py
+++ b/rushladder/streams/front.py
@@ -90,7 +90,7 @@
             transport.write(NACK)
             transport.loseConnection()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """A newer stream of the same proxy is in its place."""
         self.state = State.CLOSING
         transport: Any = self.transport
@@ -152,13 +152,17 @@
         product = self.front.products.get(message.product)
         if product is None or message.proxy >= self.front.proxies or self.number not in (-1, message.proxy):
             return self._spoilt(Spoilt("RATE", "a class or proxy that does not exist"))
-        port = self.front.host.ports.get(message.proxy)
+        port = self.front.host.joined_proxies.get(message.proxy)
         if port is not None:  # else a late word of one that left
             self.front.give(Arrivals(port.gateway, product, message.tries, message.failed, message.span))
 
     def _ack(self, message: Ack) -> None:
         port = self.port
-        if port is None or message.proxy != self.number or not self.front.host.answered(port, message.mark):
+        if (
+            port is None
+            or message.proxy != self.number
+            or not self.front.host.acknowledge(port, message.mark)
+        ):
             return self._spoilt(Spoilt("ACK", "another proxy's, or a mark that was not written"))
         self.front.give(Applied(port.gateway, message.mark, message.took))
 
@@ -254,4 +258,4 @@
         del self.strangers[talk]
         for event in self.host.join(message.proxy, message.zone, message.weight, message.fresh, talk):
             self.give(event)
-        talk.port = self.host.ports[message.proxy]
+        talk.port = self.host.joined_proxies[message.proxy]
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -30,7 +30,7 @@
 
     def send(self, message: bytes) -> None: ...
 
-    def drop(self) -> None: ...
+    def abort(self) -> None: ...
 
 
 class Tbl:
@@ -47,7 +47,7 @@
     def __init__(self, gateway: Gateway, stream: Stream) -> None:
         self.gateway, self.stream, self.paused = gateway, stream, False
         self.bound = dict[Product, Tbl]()
-        self.marks = dict[int, None]()  # written and not yet answered
+        self.unanswered_marks = dict[int, None]()  # written and not yet answered
         self.settle()
 
     def settle(self) -> None:
@@ -63,7 +63,7 @@
 class StreamHost:
     """One manager's module without its sockets. Times are the caller's clock in tenths of a millisecond.
 
-    described: the module's keyword arguments (`conf.birth`); probe, tell: carry out these orders.
+    described: the module's keyword arguments (`conf.startup_settings`); probe, tell: carry out these orders.
     """
 
     def __init__(
@@ -80,21 +80,21 @@
         # Kept no longer than the module, a table or the list holds the server.
         self._withdrawn, self._released = WeakSet[Server](), WeakSet[Server]()
         self._all: dict[Product, tuple[float, Retry]] = {}
-        self.ports, self._touched = dict[int, Port](), dict[Port, None]()
+        self.joined_proxies, self._touched = dict[int, Port](), dict[Port, None]()
         self._gateways = dict[int, Gateway]()
         self._probes, self._words = list[Server](), list[tuple[int | None, bytes]]()
         self.lines = self.messages = 0  # written, as the protocol counts them
         # When each proxy was last written, as often as the cap allows; and who waits for its turn until when.
         channel: Channel = described["channel"]
-        self.account = ChannelAccount(channel.lines_per_s, channel.head)
-        self._cap, self._span = channel.message_cap, channel.cap_span + CAP_MARGIN
+        self.account = ChannelAccount(channel.lines_per_s, channel.message_overhead)
+        self._cap, self._span = channel.message_cap, channel.cap_window + CAP_MARGIN
         self._written, self._held = dict[int, deque[int]](), dict[Port, int]()
         self._texts = dict[Any, str]()  # parts of this batch's messages: most go to all streams of a table
         self.manager = Manager(self, seed, **described)
 
     # What comes in.
 
-    def take(self, now: int, events: Collection[Event] = ()) -> None:
+    def process_batch(self, now: int, events: Collection[Event] = ()) -> None:
         """One batch: whatever reminders are due, then the events; and what was ordered goes out.
 
         A fault of the module in one event must not lose the others, a joining or a drain among them: it is
@@ -106,9 +106,9 @@
         for event in (*self._reminders.due(self._now), *events, None):
             try:
                 if event is not None:
-                    self.manager.take(event)
+                    self.manager.handle(event)
                 else:
-                    self.manager.close()
+                    self.manager.end_batch()
             except Exception as fault:
                 faults.append(fault)
         touched, self._touched = self._touched, {}
@@ -138,23 +138,23 @@
         events, gateway = list[Event](), self._gateways.get(number)
         if (older := self._unbind(number)) is not None:
             events.append(Left(older.gateway))
-            older.stream.drop()
+            older.stream.abort()
         if gateway is None or gateway.zone != zone:
             gateway = self._gateways[number] = Gateway(str(number), zone, weight)
         gateway.usual_rate = weight
-        self.ports[number] = Port(gateway, stream)
-        return [*events, Joined(gateway, fresh, keeps=not fresh)]
+        self.joined_proxies[number] = Port(gateway, stream)
+        return [*events, Joined(gateway, fresh, keeps_withdrawals=not fresh)]
 
     def leave(self, number: int, stream: Stream) -> Left[Gateway] | None:
         """The stream has ended: the event for the next batch, if it was still the proxy's."""
-        port = self.ports.get(number)
+        port = self.joined_proxies.get(number)
         if port is None or port.stream is not stream:
             return None
         self._unbind(number)
         return Left(port.gateway)
 
     def _unbind(self, number: int) -> Port | None:
-        port = self.ports.pop(number, None)
+        port = self.joined_proxies.pop(number, None)
         if port is not None:
             self._touched.pop(port, None)
             self._held.pop(port, None)
@@ -170,7 +170,7 @@
             return
         message = self._message(port)
         if port.mark is not None:
-            port.marks[port.mark] = None
+            port.unanswered_marks[port.mark] = None
         port.settle()
         if message:
             self.messages += 1
@@ -261,13 +261,13 @@
             return (either[0], int(either[1])) if either else None
         return min(own[0], every[0]), int(own[1])
 
-    def answered(self, port: Port, mark: int) -> bool:
+    def acknowledge(self, port: Port, mark: int) -> bool:
         """Whether the mark was written to this stream and not yet answered."""
-        if mark not in port.marks:
+        if mark not in port.unanswered_marks:
             return False
-        while next(iter(port.marks)) != mark:
-            del port.marks[next(iter(port.marks))]
-        del port.marks[mark]
+        while next(iter(port.unanswered_marks)) != mark:
+            del port.unanswered_marks[next(iter(port.unanswered_marks))]
+        del port.unanswered_marks[mark]
         return True
 
     # The module's `Host`.
@@ -278,7 +278,7 @@
     def _table(self, number: int) -> Tbl:
         return self._tables.setdefault(number, Tbl())
 
-    def weigh(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
         table = self._table(tbl)
         new = worker not in table.lines
@@ -295,7 +295,7 @@
             if new and weight > 0 and (worker in self._withdrawn or worker in self._released):
                 port.heed[worker] = None
 
-    def empty(self, tbl: int) -> None:
+    def clear_table(self, tbl: int) -> None:
         table = self._table(tbl)
         table.lines.clear()
         table.gates.clear()
@@ -304,7 +304,7 @@
             port.rebind[table] = None
 
     def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
-        port, table = self.ports.get(int(proxy.name)), self._table(tbl)
+        port, table = self.joined_proxies.get(int(proxy.name)), self._table(tbl)
         if port is None or port.gateway is not proxy:
             return
         self._touched[port] = None
@@ -320,7 +320,7 @@
             if server in self._withdrawn or server in self._released:
                 port.heed[server] = None
 
-    def hold_back(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, out: bool) -> None:
         assert isinstance(worker, Server)
         (self._withdrawn.add if out else self._withdrawn.discard)(worker)
         if not out:
@@ -330,15 +330,15 @@
                 self._touched[port] = None
                 port.heed[worker] = None
 
-    def let_back(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
-        port = self.ports.get(int(proxy.name))
+    def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
+        port = self.joined_proxies.get(int(proxy.name))
         if port is not None and port.gateway is proxy:
             self._touched[port] = None
             for worker in workers:
                 assert isinstance(worker, Server)
                 port.heed[worker] = None
 
-    def gate(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
         for product in products or self.products:
             if tbl is None:
                 self._all[product] = level, retry
@@ -350,7 +350,7 @@
                     port.gates.setdefault(table, {})[product] = None
 
     def checkpoint(self, number: int, everyone: bool) -> None:
-        for port in self.ports.values() if everyone else self._touched:
+        for port in self.joined_proxies.values() if everyone else self._touched:
             self._touched[port] = None
             port.mark = number % MARKS
 
@@ -358,14 +358,14 @@
         assert isinstance(worker, Server)
         self._probes.append(worker)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self._words.append((peer, data))
 
-    def watch(self, on: bool) -> None:
+    def watch_list(self, on: bool) -> None:
         """The agent on the manager's own machine is always watched: every change comes by itself."""
 
-    def ask_list(self) -> None:
-        """As for `watch`."""
+    def request_list(self) -> None:
+        """As for `watch_list`."""
 
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
--- a/rushladder/structures/hitters.py
+++ b/rushladder/structures/heavy_hitters.py
@@ -12,7 +12,7 @@
 K = TypeVar("K", bound=Hashable)
 
 
-class Hitters(Generic[K]):
+class HeavyHitters(Generic[K]):
     """Counts by key, in buckets of equal counts, so that adding one is a few dictionary steps."""
 
     def __init__(self, most: int) -> None:
--- a/rushladder/structures/quantiles.py
+++ b/rushladder/structures/quantiles.py
@@ -13,7 +13,7 @@
 LEAST = 1e-6
 
 
-class Quantiles:
+class QuantileSketch:
     def __init__(self, error: float = 0.02, most: int = 512) -> None:
         self._log, self._error, self._most = math.log((1 + error) / (1 - error)), error, most
         self.buckets, self.zeros, self.many = dict[int, int](), 0, 0
@@ -27,7 +27,7 @@
         self.buckets[place] = self.buckets.get(place, 0) + many
         self._bound()
 
-    def merge(self, other: Quantiles) -> None:
+    def merge(self, other: QuantileSketch) -> None:
         """As if all that the other was given had been given to this one. Both must have the same error."""
         if other._error != self._error:
             raise ValueError("sketches of different errors can't be merged")
--- a/rushladder/structures/wheel.py
+++ b/rushladder/structures/timing_wheel.py
@@ -16,7 +16,7 @@
 SLOTS = 64  # a level: 64 x 64 x 64 ticks are 7 hours at a tenth of a second
 
 
-class Wheel(Generic[K]):
+class TimingWheel(Generic[K]):
     """Entries by key, each with a time. tick: the width of the lowest level's slots; times are whole
     numbers."""
 
--- a/rushladder/structures/choice.py
+++ b/rushladder/structures/weighted_choice.py
@@ -15,7 +15,7 @@
 K = TypeVar("K", bound=Hashable)
 
 
-class Linear(Generic[K]):
+class LinearChoice(Generic[K]):
     """The plain way: a walk over all weights."""
 
     def __init__(self, weights: Mapping[K, float]) -> None:
@@ -34,7 +34,7 @@
         raise IndexError("no weight to choose by")
 
 
-class Alias(Generic[K]):
+class AliasTable(Generic[K]):
     def __init__(self, weights: Mapping[K, float]) -> None:
         self._weights = dict(weights)
         self._build()
@@ -62,7 +62,7 @@
         return self._keys[place if spot - place < self._keep[place] else self._other[place]]
 
 
-class Fenwick(Generic[K]):
+class FenwickTree(Generic[K]):
     def __init__(self, weights: Mapping[K, float]) -> None:
         self._keys = list(weights)
         self._places = {key: place for place, key in enumerate(self._keys)}
@@ -93,7 +93,7 @@
         return self._keys[min(place, len(self._keys) - 1)]
 
 
-class Stride(Generic[K]):
+class StrideScheduler(Generic[K]):
     """Each key has a time at which its turn comes; using it for a cost moves that on by cost over weight.
 
     What the heap holds and no longer counts is bounded: it is rebuilt when it is twice the keys.
@@ -102,7 +102,7 @@
     def __init__(self) -> None:
         self.weights, self._turn = dict[K, float](), dict[K, float]()
         self._heap, self._order = list[tuple[float, int, K]](), count()
-        self.now = 0.0  # the first turn when one was last taken: where newcomers begin
+        self.virtual_time = 0.0  # the first turn when one was last taken: where newcomers begin
 
     def __len__(self) -> int:
         return len(self.weights)
@@ -118,8 +118,8 @@
         if before == weight:
             return
         self.weights[key] = weight
-        ahead = max(0.0, self._turn.get(key, self.now) - self.now)
-        self._put(key, self.now + (ahead * before / weight if before else 0.0))
+        ahead = max(0.0, self._turn.get(key, self.virtual_time) - self.virtual_time)
+        self._put(key, self.virtual_time + (ahead * before / weight if before else 0.0))
 
     def first(self) -> tuple[float, K] | None:
         """Whose turn is next, and when."""
@@ -130,21 +130,21 @@
             heapq.heappop(self._heap)
         return None
 
-    def take(self, key: K, cost: float) -> None:
+    def charge(self, key: K, cost: float) -> None:
         """It was used for so much."""
         first = self.first()
         if first is not None and key in self.weights:
-            self.now = max(self.now, first[0])
+            self.virtual_time = max(self.virtual_time, first[0])
             self._put(key, self._turn[key] + max(1e-12, cost) / self.weights[key])
 
-    def turn(self, key: K) -> float:
+    def pass_of(self, key: K) -> float:
         return self._turn[key]
 
-    def begin(self, now: float) -> None:
+    def advance_to(self, now: float) -> None:
         """Newcomers begin no sooner than this."""
-        self.now = max(self.now, now)
+        self.virtual_time = max(self.virtual_time, now)
 
-    def least(self, many: int, fits: Callable[[K], bool], looks: int) -> list[K]:
+    def next_fitting(self, many: int, fits: Callable[[K], bool], looks: int) -> list[K]:
         """The next `many` that fit, in turn; at most `looks` that do not fit are passed over. They are not
         used yet."""
         found, aside, passed = list[K](), list[tuple[float, int, K]](), 0
--- a/rushladder/timing.py
+++ b/rushladder/timing.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-TENTHS = 10_000  # tenths of a millisecond in a second
+TENTHS_PER_SECOND = 10_000  # tenths of a millisecond in a second
 
 
-class Call(Protocol):
+class DelayedCall(Protocol):
     def active(self) -> bool: ...
 
     def cancel(self) -> None: ...
@@ -23,6 +23,6 @@
     def callLater(self, delay: float, callable: Callable[..., Any], *args: object) -> Any: ...
 
 
-def tenths(clock: Clock) -> int:
+def clock_tenths(clock: Clock) -> int:
     """The clock in whole tenths of a millisecond."""
-    return int(clock.seconds() * TENTHS)
+    return int(clock.seconds() * TENTHS_PER_SECOND)
--- a/rushladder/trials/crashes.py
+++ b/rushladder/trials/crashes.py
@@ -49,7 +49,7 @@
 
 
 def new_log(folder: Folder) -> Log:
-    return Log(folder, FLEET, MANAGER, MINORS, segment=SMALL, least=3 * SMALL)
+    return Log(folder, FLEET, MANAGER, MINORS, segment_bytes=SMALL, min_snapshot_bytes=3 * SMALL)
 
 
 def work(log: Log, told: Told, turns: int, random: Random) -> None:
@@ -59,14 +59,14 @@
             key = (random.randrange(1, 4), f"k{random.randrange(12)}")
             if random.random() < 0.15:
                 told.put(key, None)
-                log.drop(*key)
+                log.delete(*key)
             else:
                 payload = b"%d-" % turn + bytes(random.randrange(256) for _ in range(random.randrange(40)))
                 told.put(key, payload)
                 log.put(*key, payload)
         log.commit()
         told.acknowledged(log.state)
-        if log.due:
+        if log.snapshot_due:
             log.snapshot()
 
 
@@ -140,5 +140,5 @@
         log = new_log(folder)
         log.open()
         told.judge(log.state, lossy=True)
-        noticed += bool(log.opened.damage) or name not in log.opened.read
+        noticed += bool(log.opened.damage) or name not in log.opened.files_read
     return many, noticed
--- a/rushladder/trials/play.py
+++ b/rushladder/trials/play.py
@@ -20,7 +20,7 @@
 from rushladder.standins.record import Record
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
-from rushladder.store.memory import MINORS, Kind, fleet_of
+from rushladder.store.memory import MINORS, Kind, fleet_id
 from rushladder.store.store_pb2 import DemandMemory, ServerMemory
 from rushladder.trials.day import Day, Happening, Site, seconds
 
@@ -140,7 +140,7 @@
         """A memory of a day ago, of a fleet whose fast servers were slow and the slow ones fast."""
         day, at = self.day, int(1000 * (time.time() - 86_400))
         products = sorted(product.name for product in day.products)
-        fleet = fleet_of(day.regions, products)
+        fleet = fleet_id(day.regions, products)
         disk = Disk(self._path(manager.name + ".memory"))
         log = Log(disk, fleet, manager.name, MINORS, wall=lambda: at)
         log.open()
--- a/tests/world.py
+++ b/tests/fake_cluster.py
@@ -41,12 +41,12 @@
 """
 
 
-class Wire:
+class FakeTransport:
     """One side of an in-memory connection. `delay` is the way's time; what is written after a cut is lost."""
 
     def __init__(self, clock: Clock, delay: float) -> None:
         self.clock, self.delay = clock, delay
-        self.other: Wire | None = None
+        self.other: FakeTransport | None = None
         self.protocol: Any = None
         self.open = True
         self.muted = False
@@ -86,7 +86,7 @@
                 side.clock.callLater(0, side.protocol.connectionLost, CONNECTION_DONE)
 
 
-class Log:
+class RecordingLog:
     def __init__(self) -> None:
         self.rows = list[tuple[str, dict[str, Any]]]()
 
@@ -96,37 +96,39 @@
     warning = info
 
 
-class Prober:
+class FakeProber:
     def __init__(self) -> None:
-        self.sick = set[str]()
+        self.failing = set[str]()
 
     def probe(self, address: str) -> Deferred[ProbeResult]:
-        return succeed(ProbeResult.TIMED_OUT if address in self.sick else ProbeResult.OK)
+        return succeed(ProbeResult.TIMED_OUT if address in self.failing else ProbeResult.OK)
 
 
-class World:
+class FakeCluster:
     """`gateways` states by name, `managers` by name; servers are listed to every manager."""
 
     def __init__(self, gateways: int = 2, managers: int = 1, servers: int = 4, cap: int = 12) -> None:
-        self.clock, self.prober, self.cap, self.count = Clock(), Prober(), cap, managers
+        self.clock, self.prober, self.cap, self.count = Clock(), FakeProber(), cap, managers
         self.clock.advance(1000)
         self.sites = [f"g{k}" for k in range(gateways)]
         self.gateways, self.traffic = dict[str, GatewayState](), dict[str, int]()
         self.sent = list[tuple[float, str, tuple[str, ...], str]]()  # what crossed the gateways' sockets
-        self.wires = dict[tuple[str, str], Wire]()
-        self.slow = dict[str, float]()  # seconds that a txn takes at a server
+        self.wires = dict[tuple[str, str], FakeTransport]()
+        self.service_time = dict[str, float]()  # seconds that a txn takes at a server
         self.down, self.hung, self.delay = set[str](), set[str](), 0.002
-        self.shape: Callable[[str, Wire], None] = lambda name, wire: None  # changes a new connection's wires
+        self.on_connect: Callable[[str, FakeTransport], None] = lambda name, wire: (
+            None
+        )  # changes a new connection's wires
         self.draw = Random(3).random
         for name in self.sites:
             self.start_gateway(name)
         self.servers = servers
         self.managers = dict[str, Manager]()
-        self.logs = dict[str, Log]()
+        self.logs = dict[str, RecordingLog]()
         for k in range(managers):
             self.start_manager(f"m{k}")
 
-    def plan(self, name: str) -> str:
+    def config_text(self, name: str) -> str:
         text = PLAN.format(name=name, region="ab"[int(name[1]) % 2], cap=self.cap)
         for k, site in enumerate(self.sites):
             text += f"gateway {site}\n    region {'ab'[k % 2]}\n    socket unix@/none/{site}\n"
@@ -145,9 +147,9 @@
         return state
 
     def start_manager(self, name: str, restored: str = "") -> Manager:
-        self.logs[name] = Log()
+        self.logs[name] = RecordingLog()
         manager = Manager(
-            parse_config(self.plan(name), "plan"),
+            parse_config(self.config_text(name), "plan"),
             self.clock,
             lambda site, client: self.connect(name, site, client),
             self.prober,
@@ -173,14 +175,14 @@
         if site.name in self.down:
             self.clock.callLater(self.delay, connected.errback, Failure(ConnectionError("refused")))
             return connected
-        near, far = Wire(self.clock, self.delay), Wire(self.clock, self.delay)
+        near, far = FakeTransport(self.clock, self.delay), FakeTransport(self.clock, self.delay)
         near.other, far.other = far, near
         factory = RuntimeFactory(self.gateways[site.name].verbs, Level.ADMIN, self.clock)
         server = factory.buildProtocol(None)
         assert isinstance(server, RuntimeServer)
         near.protocol, far.protocol = client, server
         self.wires[manager, site.name] = near
-        self.shape(site.name, near)
+        self.on_connect(site.name, near)
         server.makeConnection(far)  # type: ignore[no-untyped-call]
         client.makeConnection(near)  # type: ignore[no-untyped-call]
         self.clock.callLater(0, connected.callback, client)
@@ -200,9 +202,9 @@
                             if line is not None and line.name in self.hung:
                                 line.voided += 1
                             elif line is not None:
-                                line.settle(self.slow.get(line.name, 0.15))
+                                line.settle(self.service_time.get(line.name, 0.15))
 
-    def changes(self, name: str, since: float = 0.0) -> list[tuple[str, ...]]:
+    def change_commands(self, name: str, since: float = 0.0) -> list[tuple[str, ...]]:
         """Commands that changed the gateway's servers or maps."""
         return [
             words
@@ -212,7 +214,7 @@
             and (words[0] in ("add", "del", "prepare", "commit") or words[:2] == ("set", "server"))
         ]
 
-    def usable(self, name: str, product: str) -> dict[str, int]:
+    def usable_weights(self, name: str, product: str) -> dict[str, int]:
         return {
             line.name: line.weight
             for line in self.gateways[name].backends[product].values()
--- a/tests/fakehost.py
+++ b/tests/fake_host.py
@@ -14,6 +14,7 @@
     Entry,
     Event,
     Guarantee,
+    Idempotency,
     Joined,
     Left,
     LevelUnit,
@@ -23,15 +24,14 @@
     ProbeResult,
     Product,
     Reminder,
-    Repeat,
     Tries,
     Worker,
 )
 from rushladder.records import Gateway, Server
 
 SECOND = 10_000
-ASK = Product("ask", 5_000, 20_000, 1.0, 0.1, Repeat.INQUIRY_LIKE, "all", 50_000)
-PAY = Product("pay", 10_000, 30_000, 3.0, 0.1, Repeat.ONCE_ONLY, "all", 50_000, writes=True)
+ASK = Product("ask", 5_000, 20_000, 1.0, 0.1, Idempotency.INQUIRY_LIKE, "all", 50_000)
+PAY = Product("pay", 10_000, 30_000, 3.0, 0.1, Idempotency.ONCE_ONLY, "all", 50_000, writes=True)
 
 
 class FakeHost:
@@ -71,16 +71,16 @@
             "may_tell": False,
             "slices": 0,
         }
-        self.described = settings | more
-        self.manager = Manager(self, 7, **self.described)
+        self.manager_args = settings | more
+        self.manager = Manager(self, 7, **self.manager_args)
         self.roster(ListKind.FULL, *self.servers)
 
     def give(self, *events: Event) -> list[tuple[Any, ...]]:
         """Gives one batch and returns the orders that answer it."""
         before = len(self.orders)
         for event in events:
-            self.manager.take(event)
-        self.manager.close()
+            self.manager.handle(event)
+        self.manager.end_batch()
         return self.orders[before:]
 
     def roster(
@@ -123,9 +123,9 @@
     def named(self, name: str, orders: Sequence[tuple[Any, ...]] | None = None) -> Sequence[tuple[Any, ...]]:
         return [order[1:] for order in (self.orders if orders is None else orders) if order[0] == name]
 
-    def lines(self, tbl: int) -> dict[Worker, float]:
+    def table_weights(self, tbl: int) -> dict[Worker, float]:
         """The table as its proxies hold it."""
-        lines = {worker: weight for number, worker, weight in self.named("weigh") if number == tbl}
+        lines = {worker: weight for number, worker, weight in self.named("set_weight") if number == tbl}
         return {worker: weight for worker, weight in lines.items() if weight}
 
     def now(self) -> int:
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -7,7 +7,7 @@
 
 from rushladder.conf.grammar import InvalidConfig, InvalidValue, duration, tokenize
 from rushladder.conf.reader import parse_config
-from rushladder.interface import Repeat
+from rushladder.interface import Idempotency
 
 VALID = """
 global
@@ -52,7 +52,7 @@
         config = parse_config(VALID, "f")
         self.assertEqual((config.identity.name, config.identity.number, config.peers[0].number), ("m1", 1, 0))
         self.assertEqual((config.guarantee.drain_grace, config.channel.message_cap), (42_000, 12))
-        self.assertIs(config.products[0].repeat, Repeat.ONCE_ONLY)
+        self.assertIs(config.products[0].idempotency, Idempotency.ONCE_ONLY)
         self.assertEqual((config.gateways[0].usual_rate, config.collectors[0].size), (12.5, 1.5))
         self.assertEqual([str(listener.address) for listener in config.listeners], ["unix@/tmp/m1.sock"])
 
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -26,9 +26,9 @@
 from rushladder.dnsfront.limits import Kind, Limiter, Verdict, prefix
 from rushladder.dnsfront.records import Answer, Rcode, Record, Type
 from rushladder.dnsfront.split import TWICE, Share, Split
-from rushladder.structures.choice import Alias, Fenwick, Linear, Stride
+from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 from tests.test_paths import ctl
-from tests.world import Prober, World
+from tests.fake_cluster import FakeCluster, FakeProber
 
 SECOND = 10_000
 weights = st.dictionaries(st.integers(0, 30), st.floats(0.01, 100), min_size=1, max_size=20)
@@ -40,7 +40,7 @@
     def test_a_tree_draws_what_a_walk_draws(
         self, some: dict[int, float], chance: float, changes: list[tuple[int, float]]
     ) -> None:
-        tree, plain = Fenwick(some), Linear(some)
+        tree, plain = FenwickTree(some), LinearChoice(some)
         for key, weight in changes:
             if key in some:
                 tree.set(key, weight)
@@ -51,7 +51,7 @@
 
     def test_an_alias_table_follows_its_weights(self) -> None:
         some, draw = {"a": 1.0, "b": 2.0, "c": 7.0}, Random(1).random
-        table, found = Alias(some), Counter[str]()
+        table, found = AliasTable(some), Counter[str]()
         for _ in range(20_000):
             found[table.draw(draw())] += 1
         for key, weight in some.items():
@@ -62,12 +62,12 @@
     def test_in_turn_each_gets_its_part_of_any_costs(
         self, some: dict[int, float], costs: list[float]
     ) -> None:
-        turns, got = Stride[int](), Counter[int]()
+        turns, got = StrideScheduler[int](), Counter[int]()
         for key, weight in some.items():
             turns.set(key, weight)
         for cost in costs:
-            key = turns.least(1, lambda _: True, 0)[0]
-            turns.take(key, cost)
+            key = turns.next_fitting(1, lambda _: True, 0)[0]
+            turns.charge(key, cost)
             got[key] += cost  # type: ignore[assignment]
         whole = sum(some.values())
         for key, weight in some.items():
@@ -260,11 +260,11 @@
 """
 
 
-class DnsWorld(World):
-    def plan(self, name: str) -> str:
+class DnsWorld(FakeCluster):
+    def config_text(self, name: str) -> str:
         text = (
             super()
-            .plan(name)
+            .config_text(name)
             .replace("region a\nregion b\n", "region a\nregion b\n    clients 10.2.0.0/16\n")
         )
         return text + DNS
@@ -435,7 +435,7 @@
 
     def test_an_answer_by_tcp_is_the_one_that_was_truncated(self) -> None:
         first = self.world.named("_ask._tcp.a.svc.example", kind="SRV")
-        self.world.managers["m0"].core.warden.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
+        self.world.managers["m0"].core.table_guard.propose("t", "w", [(("ask", "s0"), 0.9)], [], 0)
         self.assertEqual(self.world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True), first)
 
     def test_a_server_told_to_drain_is_in_no_further_answer(self) -> None:
@@ -491,7 +491,7 @@
 
     def test_across_a_cut_each_manager_names_whom_it_reaches_and_all_again_after_it(self) -> None:
         world = DnsWorld(gateways=2, managers=2)
-        here, there = Prober(), Prober()
+        here, there = FakeProber(), FakeProber()
         world.managers["m0"]._prober, world.managers["m1"]._prober = here, there
         world.run(8, rate=10)
 
@@ -515,12 +515,12 @@
                 found |= some
             return found
 
-        here.sick |= {"127.0.0.1:7001", "127.0.0.1:7003"}  # the far region's, as either sees it
-        there.sick |= {"127.0.0.1:7000", "127.0.0.1:7002"}
+        here.failing |= {"127.0.0.1:7001", "127.0.0.1:7003"}  # the far region's, as either sees it
+        there.failing |= {"127.0.0.1:7000", "127.0.0.1:7002"}
         live(14)
         self.assertEqual((named("m0"), named("m1")), ({0, 2}, {1, 3}))
-        here.sick.clear()
-        there.sick.clear()
+        here.failing.clear()
+        there.failing.clear()
         live(40)
         self.assertTrue(named("m0") & {1, 3})
 
@@ -533,7 +533,7 @@
             world.run(0.13)
         seat = world.front().seats[0].gateway
         product = world.managers["m0"].core.products[0]
-        many, covers = seat.came[product].total(int(world.clock.seconds() * SECOND), 4)
+        many, covers = seat.arrivals[product].total(int(world.clock.seconds() * SECOND), 4)
         # Five resolvers, each asking 0.08 s after its answer ran out: some 12 txns a second each.
         self.assertTrue(30 < SECOND * many / covers < 300, SECOND * many / covers)
 
@@ -621,7 +621,7 @@
 
 class ZoneFaultStories(unittest.TestCase):
     def test_names_that_can_not_stand_in_a_zone_are_told_with_their_line(self) -> None:
-        text = DnsWorld().plan("m0")
+        text = DnsWorld().config_text("m0")
         for old, new, what in (
             ("product ask", "product _ask", "no DNS label"),
             ("region b", "region servers", "a name of the zone's own"),
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushladder.gateways.difference import Admin, Key, Line, applied, read_lines, server_commands
-from rushladder.gateways.holding import Effect, Holding, Stand, Word, read_word
+from rushladder.gateways.diff import AdminState, Key, Line, apply_commands, read_lines, server_commands
+from rushladder.gateways.election import Effect, HolderElection, HolderState, Word, read_word
 from rushladder.gateways.meter import Birth, Meter, Sums, mean_of_new
 from rushladder.gateways.rounding import FULL, round_pool
 from rushladder.runtime.grammar import Command, format_csv
@@ -51,8 +51,10 @@
         self.views = [self.view(number) for number in range(len(regions))]
         self.late = list[str]()  # writes of paused managers that arrive when they wake
 
-    def view(self, number: int) -> Holding:
-        return Holding(f"m{number}", self.regions[number], "a", takeover=40_000, settle=17_500, lease=15_000)
+    def view(self, number: int) -> HolderElection:
+        return HolderElection(
+            f"m{number}", self.regions[number], "a", takeover=40_000, settle=17_500, lease=15_000
+        )
 
     def poll(self, number: int, delay: int = 0) -> Effect:
         asked, word = self.now, read_word(self.word)
@@ -164,7 +166,7 @@
         for _ in range(40):
             world.second({0, 1, 2})
         self.assertEqual(len(world.senders()), 1)
-        self.assertEqual(sum(view.stand is Stand.HOLDING for view in world.views), 1)
+        self.assertEqual(sum(view.state is HolderState.HOLDING for view in world.views), 1)
 
 
 def row(settled: int, mean: int, voided: int = 0) -> str:
@@ -219,13 +221,15 @@
 
 lines = st.dictionaries(
     st.tuples(st.sampled_from("pq"), st.sampled_from("abcde")),
-    st.builds(Line, st.sampled_from(["h:1", "h:2"]), st.integers(0, 256), st.sampled_from(Admin)),
+    st.builds(Line, st.sampled_from(["h:1", "h:2"]), st.integers(0, 256), st.sampled_from(AdminState)),
     max_size=10,
 )
 
 
 def usable(held: Mapping[Key, Line], backend: str) -> bool:
-    return any(key[0] == backend and line.weight and line.admin is Admin.READY for key, line in held.items())
+    return any(
+        key[0] == backend and line.weight and line.admin is AdminState.READY for key, line in held.items()
+    )
 
 
 class DifferenceStories(unittest.TestCase):
@@ -236,22 +240,25 @@
     ) -> None:
         now, whole = dict(held), {p: usable(held, p) and usable({**held, **wanted}, p) for p in "pq"}
         for command in server_commands(held, wanted, cold):
-            applied(now, [command])
+            apply_commands(now, [command])
             self.assertTrue(all(usable(now, backend) for backend, kept in whole.items() if kept), command)
         for key, line in wanted.items():
-            if key in held or (line.weight and line.admin is Admin.READY):
+            if key in held or (line.weight and line.admin is AdminState.READY):
                 self.assertEqual(now[key], line)
         self.assertEqual(server_commands(now, wanted, cold), [])
 
     def test_a_new_server_carries_nothing_before_its_weight_stands(self) -> None:
         self.assertEqual(
-            [" ".join(c.words) for c in server_commands({}, {("p", "a"): Line("h:1", 5, Admin.READY)}, ())],
+            [
+                " ".join(c.words)
+                for c in server_commands({}, {("p", "a"): Line("h:1", 5, AdminState.READY)}, ())
+            ],
             ["add server p/a h:1 weight 0", "set server p/a weight 5", "set server p/a state ready"],
         )
 
     def test_what_is_cold_is_raised_last(self) -> None:
-        held = {("p", name): Line("h:1", 5, Admin.READY) for name in "ab"}
-        wanted = {("p", "a"): Line("h:1", 9, Admin.READY), ("p", "b"): Line("h:1", 90, Admin.READY)}
+        held = {("p", name): Line("h:1", 5, AdminState.READY) for name in "ab"}
+        wanted = {("p", "a"): Line("h:1", 9, AdminState.READY), ("p", "b"): Line("h:1", 90, AdminState.READY)}
         self.assertEqual(
             server_commands(held, wanted, {"a"})[-1], Command(("set", "server", "p/a", "weight", "9"))
         )
@@ -264,8 +271,8 @@
         self.assertEqual(
             read_lines(text),
             {
-                ("p", "a"): Line("127.0.0.1:81", 7, Admin.READY),
-                ("p", "b"): Line("127.0.0.1:82", 7, Admin.DRAIN),
+                ("p", "a"): Line("127.0.0.1:81", 7, AdminState.READY),
+                ("p", "b"): Line("127.0.0.1:82", 7, AdminState.DRAIN),
             },
         )
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -10,16 +10,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from rushladder.guard.admission import Admission, Close, Gate, Line, Open, Part, Reason, Verdict
-from rushladder.guard.allotment import allotment
-from rushladder.guard.book import Book, Pool, Server, open_to
+from rushladder.guard.limit_shares import limit_shares
+from rushladder.guard.projection import LoadProjection, Pool, Server, open_to
 from rushladder.guard.history import KEPT, History
-from rushladder.guard.warden import Warden
+from rushladder.guard.table_guard import TableGuard
 from rushladder.guard.waves import Arm, Effect, Stage, Wave
-from rushladder.interface import Product, Repeat
+from rushladder.interface import Idempotency, Product
 
 CORPUS = Path(__file__).parent / "guard.corpus"
 SECOND = 10_000
-INQUIRY, ONCE = Repeat.INQUIRY_LIKE, Repeat.ONCE_ONLY
+INQUIRY, ONCE = Idempotency.INQUIRY_LIKE, Idempotency.ONCE_ONLY
 PRODUCTS = {
     "ask": (Product("ask", 5_000, 20_000, 1.0, 0.1, INQUIRY, "all", 0), 60.0),
     "pay": (Product("pay", 10_000, 30_000, 3.0, 0.1, ONCE, "all", 0, writes=True), 30.0),
@@ -33,11 +33,11 @@
     region."""
 
     def __init__(self) -> None:
-        self.book, self.now = Book(), 1000 * SECOND
+        self.projection, self.now = LoadProjection(), 1000 * SECOND
         for zone in "ab":
             for k in (1, 2, 3, 4):
                 warm_at = self.now + 10 * SECOND if k == 4 else 0
-                self.book.add_server(
+                self.projection.add_server(
                     Server(
                         f"{zone}{k}",
                         zone,
@@ -52,19 +52,21 @@
                 )
             for name, (product, demand) in PRODUCTS.items():
                 pool = Pool(f"{name}-{zone}", product, zone, 4, demand)
-                self.book.add_pool(pool)
+                self.projection.add_pool(pool)
                 for k in (1, 2, 4) if name == "map" else (1, 2, 3, 4):
-                    self.book.weigh(pool, self.book.servers[f"{zone}{k}"], 1.0 if k == 4 else 10.0)
-        self.book.keep()
-        self.guard = Admission(self.book)
+                    self.projection.set_weight(
+                        pool, self.projection.servers[f"{zone}{k}"], 1.0 if k == 4 else 10.0
+                    )
+        self.projection.commit()
+        self.guard = Admission(self.projection)
         self.guard.demand_at = self.now
 
     def set_up(self, text: str) -> None:
         words = text.split()
         if words[0] == "demand":
-            self.book.demand(self.book.pools[words[1]], float(words[2]))
+            self.projection.set_demand(self.projection.pools[words[1]], float(words[2]))
         elif words[0] == "connections":
-            self.book.servers[words[1]].connections = int(words[2])
+            self.projection.servers[words[1]].connections = int(words[2])
         elif words[0] == "age":
             self.now += int(words[1]) * SECOND
             self.guard.demand_at = self.now
@@ -146,8 +148,8 @@
             fleet.now,
         )
         self.assertEqual((len(verdict.accepted), len(verdict.refused)), (2, 1))
-        self.assertEqual(fleet.book.pools["pay-a"].lines[fleet.book.servers["a1"]], 10.0)
-        self.assertFalse(fleet.book.servers["a3"].ready)
+        self.assertEqual(fleet.projection.pools["pay-a"].lines[fleet.projection.servers["a1"]], 10.0)
+        self.assertFalse(fleet.projection.servers["a3"].ready)
 
     def test_a_drain_that_would_empty_a_pool_passes_and_the_pool_is_filled(self) -> None:
         fleet = Fleet()
@@ -156,17 +158,17 @@
         self.assertEqual({fill.pool for fill in verdict.fills}, {"ask-a", "pay-a", "map-a"})
         self.assertTrue(all(fill.server[0] == "b" and fill.server != "b4" for fill in verdict.fills))
         self.assertEqual(
-            fleet.book.pools["home-a"].many, 0
+            fleet.projection.pools["home-a"].many, 0
         )  # nobody there may be asked: rule 1 does not bind
 
     def test_two_halves_that_are_only_together_fatal_are_each_judged_beside_the_other(self) -> None:
         fleet = Fleet()
-        fleet.book.demand(fleet.book.pools["ask-a"], 130.0)
+        fleet.projection.set_demand(fleet.projection.pools["ask-a"], 130.0)
         first = fleet.guard.judge([(Line("ask-a", "a1", 14.0),)], fleet.now)
         second = fleet.guard.judge([(Line("pay-a", "a1", 25.0),)], fleet.now)
         self.assertEqual((len(first.refused), second.refused[0].reason), (0, Reason.OVER_LIMIT))
         alone = Fleet()
-        alone.book.demand(alone.book.pools["ask-a"], 130.0)
+        alone.projection.set_demand(alone.projection.pools["ask-a"], 130.0)
         self.assertFalse(alone.guard.judge([(Line("pay-a", "a1", 25.0),)], alone.now).refused)
 
     def test_the_modules_own_orders_are_judged_with_a_stale_view_too(self) -> None:
@@ -190,10 +192,11 @@
         super().__init__()
         self.fleet = Fleet()
         self.lines = {
-            name: {s.name: w for s, w in pool.lines.items()} for name, pool in self.fleet.book.pools.items()
+            name: {s.name: w for s, w in pool.lines.items()}
+            for name, pool in self.fleet.projection.pools.items()
         }
-        self.ready = {name: True for name in self.fleet.book.servers}
-        self.demand = {name: pool.demand for name, pool in self.fleet.book.pools.items()}
+        self.ready = {name: True for name in self.fleet.projection.servers}
+        self.demand = {name: pool.demand for name, pool in self.fleet.projection.pools.items()}
 
     def loads(self, lines: dict[str, dict[str, float]]) -> dict[str, float]:
         loads = dict.fromkeys(self.ready, 0.0)
@@ -204,10 +207,10 @@
         return loads
 
     def candidates(self, name: str) -> list[str]:
-        pool = self.fleet.book.pools[name]
+        pool = self.fleet.projection.pools[name]
         return [
             s.name
-            for s in self.fleet.book.servers.values()
+            for s in self.fleet.projection.servers.values()
             if self.ready[s.name] and s.warm(self.fleet.now) and open_to(pool.product, s, pool.zone)
         ]
 
@@ -228,15 +231,15 @@
             for s in after[name]:
                 if (
                     not open_to(
-                        self.fleet.book.pools[name].product,
-                        self.fleet.book.servers[s],
-                        self.fleet.book.pools[name].zone,
+                        self.fleet.projection.pools[name].product,
+                        self.fleet.projection.servers[s],
+                        self.fleet.projection.pools[name].zone,
                     )
                     and s not in before[name]
                 ):
                     return True
         for name, load in new.items():
-            server = self.fleet.book.servers[name]
+            server = self.fleet.projection.servers[name]
             most = server.limit * server.ramp(self.fleet.now)
             if load > old[name] * 1.001 + 1e-9 and load * 1.25 > most + 1e-9:
                 return True
@@ -255,7 +258,9 @@
         wrong_place = any(
             w
             and not open_to(
-                self.fleet.book.pools[p].product, self.fleet.book.servers[s], self.fleet.book.pools[p].zone
+                self.fleet.projection.pools[p].product,
+                self.fleet.projection.servers[s],
+                self.fleet.projection.pools[p].zone,
             )
             for (p, s), w in entries.items()
         )
@@ -274,21 +279,21 @@
     @rule(server=names)
     def back(self, server: str) -> None:
         self.ready[server] = True
-        self.fleet.book.open(self.fleet.book.servers[server], True)
-        self.fleet.book.keep()
+        self.fleet.projection.set_ready(self.fleet.projection.servers[server], True)
+        self.fleet.projection.commit()
 
     @rule(pool=pools, rate=st.sampled_from([0.0, 10.0, 60.0, 150.0]))
     def more(self, pool: str, rate: float) -> None:
         self.demand[pool] = rate
-        self.fleet.book.demand(self.fleet.book.pools[pool], rate)
-        self.fleet.book.keep()
+        self.fleet.projection.set_demand(self.fleet.projection.pools[pool], rate)
+        self.fleet.projection.commit()
 
     @invariant()
     def the_sums_are_those_of_the_slow_model(self) -> None:
         for name, load in self.loads(self.lines).items():
-            assert math.isclose(self.fleet.book.servers[name].load, load, abs_tol=1e-6), name
+            assert math.isclose(self.fleet.projection.servers[name].load, load, abs_tol=1e-6), name
         many = {name: sum(self.ready[s] for s in lines) for name, lines in self.lines.items()}
-        tight = self.fleet.book.tightest(3)
+        tight = self.fleet.projection.tightest(3)
         assert [many[pool.name] for pool in tight] == sorted(many.values())[:3]
 
 
@@ -348,7 +353,7 @@
             class Broken(Fleet):
                 def __init__(self, figures: dict[str, float] = more) -> None:
                     super().__init__()
-                    self.guard = Admission(self.book, **figures)
+                    self.guard = Admission(self.projection, **figures)
                     self.guard.demand_at = self.now
 
             self.assertTrue(wrong(Broken), more)
@@ -365,7 +370,7 @@
         gateways = [(f"g{k}", region, rate) for k, (region, rate, _) in enumerate(some)]
         servers = {f"{region}{k}": region for region in "abc" for k in range(2)}
         parts = [
-            allotment(
+            limit_shares(
                 servers, gateways, frozenset(f"g{k}" for k, one in enumerate(some) if one[2] == manager)
             )
             for manager in range(3)
@@ -374,15 +379,17 @@
             self.assertAlmostEqual(sum(part[name] for part in parts), 1.0)
 
     def test_a_manager_has_most_of_the_servers_of_its_own_region(self) -> None:
-        parts = allotment({"a1": "a", "b1": "b"}, [("g1", "a", 10.0), ("g2", "b", 10.0)], frozenset({"g1"}))
+        parts = limit_shares(
+            {"a1": "a", "b1": "b"}, [("g1", "a", 10.0), ("g2", "b", 10.0)], frozenset({"g1"})
+        )
         self.assertEqual(parts, {"a1": 0.8, "b1": 0.2})
 
 
 class WardenStories(unittest.TestCase):
     def test_names_that_come_and_go_leave_nothing_behind(self) -> None:
-        warden = Warden(Random(1).random)
+        table_guard = TableGuard(Random(1).random)
         for turn in range(500):
-            warden.server(
+            table_guard.server(
                 f"s{turn}",
                 "a",
                 "big",
@@ -393,14 +400,14 @@
                 cold_time=1,
                 cold_from=1.0,
             )
-            warden.forget(f"s{turn}")
-            warden.period({}, turn)
-        self.assertEqual((len(warden.book.servers), len(warden._stated)), (0, 0))
+            table_guard.forget(f"s{turn}")
+            table_guard.period({}, turn)
+        self.assertEqual((len(table_guard.projection.servers), len(table_guard._stated)), (0, 0))
 
     def test_a_change_that_demand_has_outgrown_on_its_way_is_taken_back(self) -> None:
-        warden, product = Warden(Random(1).random), PRODUCTS["ask"][0]
+        table_guard, product = TableGuard(Random(1).random), PRODUCTS["ask"][0]
         for k in range(4):
-            warden.server(
+            table_guard.server(
                 f"s{k}",
                 "a",
                 "big",
@@ -411,14 +418,14 @@
                 cold_time=1,
                 cold_from=1.0,
             )
-        warden.demand("0", product, "a", 60.0, 1)
-        self.assertIsNone(warden.table("0", [product], "a", {f"s{k}": 10.0 for k in range(4)}, 1))
-        warden.propose("ops", "more for s0", [(("ask", "s0"), 2.0)], [f"g{k}" for k in range(9)], 1)
-        self.assertEqual(warden.version_of("none of the wave"), 0)
-        warden.demand("0", product, "a", 120.0, 2)
-        self.assertIs(warden.period({}, 2), Effect.UNDO)
-        self.assertEqual((warden.history.current, warden.factor("ask", "s0")), (0, 1.0))
-        self.assertIn("over its 40.0", warden.history[1].state)
+        table_guard.demand("0", product, "a", 60.0, 1)
+        self.assertIsNone(table_guard.table("0", [product], "a", {f"s{k}": 10.0 for k in range(4)}, 1))
+        table_guard.propose("ops", "more for s0", [(("ask", "s0"), 2.0)], [f"g{k}" for k in range(9)], 1)
+        self.assertEqual(table_guard.version_of("none of the wave"), 0)
+        table_guard.demand("0", product, "a", 120.0, 2)
+        self.assertIs(table_guard.period({}, 2), Effect.UNDO)
+        self.assertEqual((table_guard.history.current, table_guard.factor("ask", "s0")), (0, 1.0))
+        self.assertIn("over its 40.0", table_guard.history[1].state)
 
 
 class WaveStories(unittest.TestCase):
@@ -445,7 +452,7 @@
                     second * SECOND,
                 )
             )
-            if wave.over:
+            if wave.finished:
                 break
         return wave, effects
 
@@ -461,7 +468,7 @@
         wave, effects = self.play(1, 0.3, 0.02)
         self.assertEqual([effect for effect in effects if effect is not Effect.NONE], [Effect.UNDO])
         self.assertLess(len(effects), 10)
-        self.assertGreater(wave.watch.sureness(), 0.98)
+        self.assertGreater(wave.test.probability_worse(), 0.98)
 
     def test_a_slow_pool_is_taken_back_though_nothing_voids(self) -> None:
         wave, _ = self.play(1, 0.0, 0.0, mean=9_000.0)
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -7,7 +7,7 @@
 from rushladder.runtime.grammar import Command, parse_fields, parse_table
 from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
-from tests.world import Wire, World
+from tests.fake_cluster import FakeCluster, FakeTransport
 
 
 commands = cache(command_table)  # one table of commands a manager, as its listeners share it
@@ -27,61 +27,65 @@
 
 class SteeringStories(unittest.TestCase):
     def test_a_gateway_is_held_filled_and_its_levels_set(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(6, rate=20)
         self.assertEqual({world.holder(name) for name in world.sites}, {"m0"})
         for name in world.sites:
-            self.assertTrue(set(world.usable(name, "pay")) - {"s0"})
+            self.assertTrue(set(world.usable_weights(name, "pay")) - {"s0"})
             self.assertEqual(world.gateways[name].maps["levels"], {"ask": "1000", "pay": "1000"})
             self.assertEqual(world.gateways[name].maps["retries"], {"ask": "1", "pay": "1"})
 
     def test_when_nothing_changes_nothing_is_sent(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(40, rate=20)
         before = world.clock.seconds()
         world.run(10, rate=20)
-        self.assertLess(len(world.changes("g0", before)), 12)
+        self.assertLess(len(world.change_commands("g0", before)), 12)
 
     def test_a_drain_told_by_an_operator_reaches_every_gateway_at_once(self) -> None:
-        world = World(cap=60)
+        world = FakeCluster(cap=60)
         world.run(6, rate=20)
         self.assertEqual(ctl(world.managers["m0"], "set server fleet/s0 state drain"), "")
         world.run(1.5)
         for name in world.sites:
-            self.assertNotIn("s0", world.usable(name, "pay"))
-            self.assertTrue(world.usable(name, "pay"))
+            self.assertNotIn("s0", world.usable_weights(name, "pay"))
+            self.assertTrue(world.usable_weights(name, "pay"))
         self.assertEqual(world.managers["m0"].roster.version, 5)
         ctl(world.managers["m0"], "set server fleet/s0 state drain")  # the same again changes nothing
         self.assertEqual(world.managers["m0"].roster.version, 5)
 
     def test_a_server_added_by_an_operator_comes_in_cold_and_grows(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(10, rate=40)
         answer = ctl(world.managers["m0"], "add server fleet/s9 127.0.0.1:7009 region a")
         self.assertEqual(answer, "New server registered.\n")
         world.run(4, rate=40)
-        early = world.usable("g0", "ask").get("s9", 0) / sum(world.usable("g0", "ask").values())
+        early = world.usable_weights("g0", "ask").get("s9", 0) / sum(
+            world.usable_weights("g0", "ask").values()
+        )
         world.run(25, rate=40)
-        late = world.usable("g0", "ask").get("s9", 0) / sum(world.usable("g0", "ask").values())
+        late = world.usable_weights("g0", "ask").get("s9", 0) / sum(
+            world.usable_weights("g0", "ask").values()
+        )
         self.assertLess(early, 0.5 * late)
         self.assertIn(
             "Another server has", ctl(world.managers["m0"], "add server fleet/x 127.0.0.1:7009 region a")
         )
 
     def test_a_server_that_hangs_is_withdrawn_and_comes_back(self) -> None:
-        world = World(cap=60)
+        world = FakeCluster(cap=60)
         world.run(5, rate=20)
-        world.prober.sick.add("127.0.0.1:7002")
+        world.prober.failing.add("127.0.0.1:7002")
         world.hung.add("s2")
         world.run(9, rate=20)
-        self.assertNotIn("s2", world.usable("g0", "ask"))
-        world.prober.sick.clear()
+        self.assertNotIn("s2", world.usable_weights("g0", "ask"))
+        world.prober.failing.clear()
         world.hung.clear()
         world.run(25, rate=20)
-        self.assertIn("s2", world.usable("g0", "ask"))
+        self.assertIn("s2", world.usable_weights("g0", "ask"))
 
     def test_overload_lowers_the_levels_and_lifts_them_again(self) -> None:
-        world = World(cap=60)
+        world = FakeCluster(cap=60)
         world.run(12, rate=20)
 
         for turn in range(14):
@@ -99,7 +103,7 @@
 
 
 class LostStories(unittest.TestCase):
-    def cut_at(self, world: World, words: tuple[str, ...], many: int) -> list[dict[str, str]]:
+    def cut_at(self, world: FakeCluster, words: tuple[str, ...], many: int) -> list[dict[str, str]]:
         """The socket breaks the moment g0 has carried out the `many`th command that starts so."""
         seen, levels = [0], list[dict[str, str]]()
         state, heard = world.gateways["g0"], world.gateways["g0"].heard
@@ -117,7 +121,7 @@
 
     def test_a_socket_that_drops_between_two_servers_orders_is_read_back(self) -> None:
         for many in (1, 2, 3):
-            world = World(gateways=1)
+            world = FakeCluster(gateways=1)
             world.run(6, rate=20)
             self.cut_at(world, ("set", "server"), many)
             ctl(world.managers["m0"], "set server fleet/s1 state drain")
@@ -133,17 +137,17 @@
     def test_a_socket_that_drops_inside_a_map_leaves_the_old_map_whole(self) -> None:
         full = {"ask": "1000", "pay": "1000"}
         for words, many in ((("prepare",), 1), (("add", "map"), 1), (("add", "map"), 3), (("commit",), 1)):
-            world = World(gateways=1)
+            world = FakeCluster(gateways=1)
             levels = self.cut_at(world, words, many)
             world.run(14, rate=20)
             self.assertTrue(all(some in ({}, full) for some in levels), words)
             self.assertEqual(world.gateways["g0"].maps["levels"], full, words)
 
     def test_a_manager_that_returns_changes_nothing_and_lets_in_all(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(15, rate=20)
         before = {
-            name: (world.usable(name, "ask"), dict(world.gateways[name].maps["levels"]))
+            name: (world.usable_weights(name, "ask"), dict(world.gateways[name].maps["levels"]))
             for name in world.sites
         }
         world.kill("m0")
@@ -151,7 +155,7 @@
         self.assertEqual(
             before,
             {
-                name: (world.usable(name, "ask"), dict(world.gateways[name].maps["levels"]))
+                name: (world.usable_weights(name, "ask"), dict(world.gateways[name].maps["levels"]))
                 for name in world.sites
             },
         )
@@ -163,14 +167,14 @@
             [
                 words
                 for name in world.sites
-                for words in world.changes(name, since)
+                for words in world.change_commands(name, since)
                 if words[0] == "add" and words[1] == "server"
             ]
         )
         self.assertEqual(world.gateways["g0"].maps["levels"], {"ask": "1000", "pay": "1000"})
 
     def test_a_gateway_that_restarts_is_filled_anew(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(8, rate=20)
         world.wires["m0", "g0"].abortConnection()
         world.down.add("g0")
@@ -178,13 +182,13 @@
         world.down.clear()
         world.start_gateway("g0", pid=2)
         world.run(8, rate=20)
-        self.assertEqual(set(world.usable("g0", "ask")), set(world.usable("g0", "pay")))
-        self.assertGreater(len(world.usable("g0", "ask")), 1)
+        self.assertEqual(set(world.usable_weights("g0", "ask")), set(world.usable_weights("g0", "pay")))
+        self.assertGreater(len(world.usable_weights("g0", "ask")), 1)
 
 
 class SweepStories(unittest.TestCase):
     def test_a_server_off_the_list_is_taken_out_of_the_gateways(self) -> None:
-        world = World(cap=60)
+        world = FakeCluster(cap=60)
         world.run(8, rate=20)
         ctl(world.managers["m0"], "disable server fleet/s2")
         self.assertEqual(ctl(world.managers["m0"], "del server fleet/s2"), "Server deleted.\n")
@@ -200,7 +204,7 @@
 
 class HoldingStories(unittest.TestCase):
     def test_each_manager_holds_the_gateways_of_its_region_and_the_other_takes_over(self) -> None:
-        world = World(managers=2)
+        world = FakeCluster(managers=2)
         world.run(8, rate=20)
         self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m1"))
         world.kill("m1")
@@ -209,50 +213,50 @@
         world.start_manager("m1")
         world.run(20, rate=20)
         self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m1"))
-        self.assertEqual(len(world.managers["m0"].core.ports), 1)
+        self.assertEqual(len(world.managers["m0"].core.sessions), 1)
 
     def test_a_stale_managers_late_write_is_undone(self) -> None:
-        world = World(managers=2)
+        world = FakeCluster(managers=2)
         world.run(8, rate=20)
         state = world.gateways["g0"]
-        before = world.usable("g0", "pay")
+        before = world.usable_weights("g0", "pay")
         for line in state.backends["pay"].values():  # what a manager that stood still for long might send
             line.weight = 1 if line.name == "s0" else 0
         state.variables["proc.rushladder_wrote"] = "1/m1/b/77"
         world.run(2.5, rate=20)
-        self.assertEqual(set(world.usable("g0", "pay")), set(before))
+        self.assertEqual(set(world.usable_weights("g0", "pay")), set(before))
 
     def test_a_gateway_of_a_silent_link_is_left_and_its_demand_still_counts(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(8, rate=20)
         wire = world.wires["m0", "g1"]
         assert wire.other is not None
         wire.other.muted = True  # it still hears and acts, but nothing of it is heard
         world.down.add("g1")
         world.run(4, rate=20)
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.ports.values()], ["g0"])
+        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
         self.assertIn("no answer within", ctl(world.managers["m0"], "show errors"))
 
 
 class BadPeerStories(unittest.TestCase):
-    def garbage(self, text: bytes) -> World:
-        world = World()
+    def garbage(self, text: bytes) -> FakeCluster:
+        world = FakeCluster()
         world.run(6, rate=20)
         wire = world.wires["m0", "g1"]
         assert wire.other is not None
 
-        def shape(name: str, near: Wire) -> None:
+        def shape(name: str, near: FakeTransport) -> None:
             if name == "g1":
                 assert near.other is not None
                 near.other.write = lambda data: near.clock.callLater(0.01, near.protocol.dataReceived, text)  # type: ignore[assignment, method-assign]
 
-        world.shape = shape
+        world.on_connect = shape
         wire.abortConnection()
         world.run(6, rate=20)
-        world.shape = lambda name, near: None
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.ports.values()], ["g0"])
+        world.on_connect = lambda name, near: None
+        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
         world.run(10, rate=20)
-        self.assertEqual(len(world.managers["m0"].core.ports), 2)
+        self.assertEqual(len(world.managers["m0"].core.sessions), 2)
         return world
 
     def test_garbage_costs_the_connection_and_nothing_else(self) -> None:
@@ -262,18 +266,18 @@
         self.garbage(b"x" * 9_000_000)
 
     def test_a_gateway_that_refuses_is_asked_again_ever_more_slowly(self) -> None:
-        world = World(gateways=1)
+        world = FakeCluster(gateways=1)
         del world.gateways["g0"].backends["pay"]
         world.run(30, rate=5)
         refused = [words for _, _, words, answer in world.sent if answer.startswith("No such backend")]
         self.assertTrue(0 < len(refused) < 120)
-        self.assertTrue(len(world.usable("g0", "ask")) > 1)
+        self.assertTrue(len(world.usable_weights("g0", "ask")) > 1)
         self.assertIn("No such backend", ctl(world.managers["m0"], "show errors"))
 
 
 class ChannelStories(unittest.TestCase):
     def test_no_gateway_is_sent_more_messages_than_the_cap(self) -> None:
-        world = World(cap=8)
+        world = FakeCluster(cap=8)
         world.run(4, rate=20)
         for turn in range(60):
             state = ("drain", "ready")[turn % 2]
@@ -288,7 +292,7 @@
             self.assertLessEqual(max(sum(at <= other < at + 10 for other in wrote) for at in wrote), 8)
 
     def test_a_slow_gateway_gets_one_message_at_a_time_and_all_that_it_missed(self) -> None:
-        world = World(cap=60)
+        world = FakeCluster(cap=60)
         world.run(6, rate=20)
         for wire in world.wires.values():
             assert wire.other is not None
@@ -299,27 +303,29 @@
                 f"set server fleet/s{turn % 2} state {('drain', 'ready')[turn // 2 % 2]}",
             )
             world.run(0.5, rate=20)
-            self.assertLessEqual(max(driver.waiting() for driver in world.managers["m0"].drivers), 70)
+            self.assertLessEqual(
+                max(driver.unanswered_commands() for driver in world.managers["m0"].drivers), 70
+            )
         world.run(8, rate=20)
         for name in world.sites:
-            usable = world.usable(name, "pay")
+            usable = world.usable_weights(name, "pay")
             self.assertEqual({"s0", "s1"} & set(usable), set(), usable)
 
 
 class GuardStories(unittest.TestCase):
-    def world(self) -> World:
-        world = World(gateways=10, servers=8, cap=60)
+    def world(self) -> FakeCluster:
+        world = FakeCluster(gateways=10, servers=8, cap=60)
         world.run(14, rate=20)
         return world
 
-    def carried(self, world: World, server: str) -> list[float]:
+    def carried(self, world: FakeCluster, server: str) -> list[float]:
         """The server's part of each gateway's pool of `pay`."""
-        pools = [world.usable(name, "pay") for name in world.sites]
+        pools = [world.usable_weights(name, "pay") for name in world.sites]
         return [pool.get(server, 0) / sum(pool.values()) for pool in pools]
 
     def test_a_table_that_points_everything_at_one_collector_is_refused_with_its_reason(self) -> None:
         world = self.world()
-        manager, before = world.managers["m0"], [world.usable(name, "pay") for name in world.sites]
+        manager, before = world.managers["m0"], [world.usable_weights(name, "pay") for name in world.sites]
         self.assertEqual(ctl(manager, "prepare table"), "New version created: 1\n")
         for k in range(1, 8):
             ctl(manager, f"add table @1 pay/s{k} 0%")
@@ -327,7 +333,7 @@
         self.assertTrue(answer.startswith("refused: Refused: "), answer)
         self.assertIn("would be accepted", answer)
         world.run(3, rate=20)
-        self.assertEqual(before, [world.usable(name, "pay") for name in world.sites])
+        self.assertEqual(before, [world.usable_weights(name, "pay") for name in world.sites])
         self.assertIn("operator:", ctl(manager, "show table refused"))
 
     def test_a_listed_size_that_would_draw_everything_is_refused_and_a_sound_one_is_not(self) -> None:
@@ -360,7 +366,7 @@
     def test_a_change_that_shifts_txns_to_a_slow_collector_is_taken_back_from_its_first_wave(self) -> None:
         world = self.world()
         manager = world.managers["m0"]
-        world.slow["s2"] = 1.4  # nobody has seen it yet: hardly a txn goes there
+        world.service_time["s2"] = 1.4  # nobody has seen it yet: hardly a txn goes there
         self.assertEqual(ctl(manager, "set weight ask/s2 400%"), "Version 1 goes out in waves.\n")
         world.run(30, rate=20)
         self.assertIn("stage=undone", ctl(manager, "show wave"))
@@ -373,7 +379,7 @@
         self.assertLessEqual(len(reached), 4)
 
     def test_a_wave_whose_manager_is_lost_is_undone_by_its_successor(self) -> None:
-        world = World(gateways=6, servers=8, cap=60, managers=2)
+        world = FakeCluster(gateways=6, servers=8, cap=60, managers=2)
         world.run(10, rate=20)
         before = self.carried(world, "s0")
         ctl(world.managers["m0"], "set weight pay/s0 30%")
@@ -390,17 +396,17 @@
         ctl(manager, "set weight pay/s0 50%")
         ctl(manager, "set server fleet/s2 state drain")
         world.run(2.2, rate=20)
-        self.assertFalse(any("s2" in world.usable(name, "pay") for name in world.sites))
+        self.assertFalse(any("s2" in world.usable_weights(name, "pay") for name in world.sites))
 
     def test_the_modules_own_bad_order_is_a_fault_and_the_last_good_table_stays(self) -> None:
         world = self.world()
-        manager, before = world.managers["m0"], world.usable("g0", "pay")
-        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.ports)
-        manager.core.weigh(number, next(iter(table_.lines)), float("inf"))
+        manager, before = world.managers["m0"], world.usable_weights("g0", "pay")
+        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.sessions)
+        manager.core.set_weight(number, next(iter(table_.lines)), float("inf"))
         manager.handle_events()
         world.run(1.5, rate=20)
         self.assertIn("own order for table", ctl(manager, "show errors"))
-        self.assertEqual(set(world.usable("g0", "pay")), set(before))
+        self.assertEqual(set(world.usable_weights("g0", "pay")), set(before))
 
     def test_bad_words_are_refused_by_name(self) -> None:
         manager = self.world().managers["m0"]
@@ -421,7 +427,7 @@
 
 class ApiStories(unittest.TestCase):
     def test_the_api_shows_what_stands(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(8, rate=20)
         manager = world.managers["m0"]
         facts = parse_fields(ctl(manager, "show info"))
@@ -437,7 +443,7 @@
         self.assertEqual(ctl(manager, "show backend").split()[2:], ["fleet", "ask", "pay"])
 
     def test_bad_changes_are_refused_with_a_reason(self) -> None:
-        manager = World().managers["m0"]
+        manager = FakeCluster().managers["m0"]
         for text, reason in (
             ("set server fleet/none state drain", "No such server"),
             ("set server x/s0 state drain", "No such backend"),
@@ -456,7 +462,7 @@
         self.assertEqual(manager.roster.version, 4)
 
     def test_the_list_survives_a_restart_and_half_of_it_is_not_believed(self) -> None:
-        world = World()
+        world = FakeCluster()
         manager = world.managers["m0"]
         ctl(manager, "set server fleet/s1 state maint")
         ctl(manager, "set server fleet/s2 weight 2.5")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -43,7 +43,7 @@
 
     def test_words_count_once_and_in_order(self) -> None:
         for word in (b"one", b"two", b"three"):
-            self.a.tell(word)
+            self.a.send(word)
         first, second, third = self.net.sent
         for datagram in (first, third, second, third, first):
             self.b.datagramReceived(datagram, ("127.0.0.1", 1))
@@ -61,7 +61,7 @@
         for datagram in (b"", b"\xff" * 40, stranger, b"x" * 3000):
             self.b.datagramReceived(datagram, ("127.0.0.1", 1))
         self.assertEqual((self.heard, len(self.faults)), ([], 4))
-        self.a.tell(b"x" * 2000)
+        self.a.send(b"x" * 2000)
         self.assertEqual(self.net.sent, [])
 
     @settings(derandomize=True, deadline=None)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,7 +24,7 @@
 
 from rushladder.catalog.reader import Catalog, Faulty
 from rushladder.catalog.watch import SILENT, Watch
-from rushladder.conf.birth import Unfit, birth
+from rushladder.conf.startup_settings import SettingsError, manager_arguments
 from rushladder.core.workers import Workers
 from rushladder.interface import (
     Applied,
@@ -39,10 +39,10 @@
     Retry,
     Tries,
 )
-from rushladder.peers.bare import BareLink
-from rushladder.service.exchange import Prober
+from rushladder.peers.raw_link import RawPeerLink
+from rushladder.service.probing import Prober
 from rushladder.service.node import Node, Wrong, read_site
-from rushladder.service.notes import KINDS, SAME_AGAIN, Notes
+from rushladder.service.throttled_log import MAX_KINDS, REPEAT_INTERVAL_SECONDS, ThrottledLog
 from rushladder.standins import platform
 from rushladder.standins.platform import configuration
 from rushladder.streams.account import ChannelAccount, Purpose
@@ -60,9 +60,9 @@
 )
 from rushladder.streams.front import JOIN_WITHIN, Front, Talk
 from rushladder.streams.host import StreamHost
-from tests.fakehost import ASK, PAY, SECOND, FakeHost
+from tests.fake_host import ASK, PAY, SECOND, FakeHost
 
-DESCRIBED: dict[str, Any] = FakeHost().described
+DESCRIBED: dict[str, Any] = FakeHost().manager_args
 ROOT = Path(__file__).parent.parent
 
 
@@ -111,7 +111,7 @@
         self.hear(listing(1, *(entry(f"s{k}", zone="ab"[k % 2]) for k in range(6))))
 
     def hear(self, line: bytes) -> None:
-        found = self.catalog.line(line)
+        found = self.catalog.read_line(line)
         assert found is not None
         self.batch.append(found)
         self.turn()
@@ -120,7 +120,7 @@
         """One turn of the reactor: what was read is one batch."""
         events = list(self.batch)
         self.batch.clear()
-        self.host.take(1000 * SECOND + int(self.clock.seconds() * SECOND), events)
+        self.host.process_batch(1000 * SECOND + int(self.clock.seconds() * SECOND), events)
         return events
 
     def run_for(self, seconds: float) -> None:
@@ -253,7 +253,7 @@
         for said in ((), (b"SUBSCRIBE proxy=1 zo",)):
             _, wire = self.dial(*said)
             self.owed(wire)
-        self.assertEqual(self.host.ports, {})
+        self.assertEqual(self.host.joined_proxies, {})
 
     def test_a_crowd_of_strangers_makes_room_the_oldest_first(self) -> None:
         _, kept = self.join()
@@ -267,12 +267,12 @@
         self.front.places = 4
         joined = [self.join(number)[1] for number in range(8)]
         self.assertEqual([wire.disconnecting for wire in joined], [False] * 8)
-        self.assertEqual(len(self.host.ports), 8)
+        self.assertEqual(len(self.host.joined_proxies), 8)
 
     def test_a_refused_one_is_read_no_more(self) -> None:
         talk, wire = self.dial(b"HELLO\r\n")
         talk.dataReceived(b"SUBSCRIBE proxy=1 zone=a weight=1 fresh=1\r\n")
-        self.assertEqual((self.host.ports, wire.lines()), ({}, ["NACK"]))
+        self.assertEqual((self.host.joined_proxies, wire.lines()), ({}, ["NACK"]))
 
 
 class StreamStories(Platform):
@@ -286,7 +286,7 @@
         talk.dataReceived(b"ACK proxy=0 mark=1 took_ms=300\r\n")
         (answered,) = self.turn()
         assert isinstance(answered, Applied)
-        self.assertEqual((answered.number, answered.elapsed), (1, 3000))
+        self.assertEqual((answered.mark, answered.elapsed), (1, 3000))
         talk.dataReceived(b"ACK proxy=0 mark=1 took_ms=300\r\n")  # twice: it drains nothing twice
         self.assertEqual(self.turn(), [])
 
@@ -329,10 +329,10 @@
         tries, came = self.turn()
         assert isinstance(tries, Tries) and isinstance(came, Arrivals)
         self.assertEqual(
-            (tries.worker.name, tries.many, tries.voided, tries.mean, dict(tries.load)),
+            (tries.worker.name, tries.count, tries.voided, tries.mean_latency, dict(tries.load)),
             ("s1", 20, 1, 400, {"util": 0.5}),
         )
-        self.assertEqual((came.product, came.many, wire.lines()), (PAY, 3, []))
+        self.assertEqual((came.product, came.count, wire.lines()), (PAY, 3, []))
 
     def test_a_stream_that_turns_unreadable_has_left(self) -> None:
         talk, wire = self.join()
@@ -359,8 +359,8 @@
         worker = self.workers.get("s0")
         assert worker is not None
         for weight in range(1, 500):
-            self.host.weigh(0, worker, float(weight))
-        self.host.hold_back(worker, True)
+            self.host.set_weight(0, worker, float(weight))
+        self.host.set_withdrawn(worker, True)
         self.turn()
         self.assertEqual(wire.lines(), [])
         talk.resumeProducing()
@@ -373,7 +373,7 @@
         old.pauseProducing()
         worker = self.workers.get("s0")
         assert worker is not None
-        self.host.weigh(0, worker, 3.0)
+        self.host.set_weight(0, worker, 3.0)
         self.turn()
         wire.lines()
         _, new = self.join(0, fresh=0)
@@ -391,7 +391,7 @@
         assert worker is not None
         streams[0][0].pauseProducing()
         for weight in (3, 4):
-            self.host.weigh(0, worker, float(weight))
+            self.host.set_weight(0, worker, float(weight))
             self.turn()
             if weight == 3:
                 streams[0][0].resumeProducing()  # written between two batches
@@ -413,13 +413,13 @@
         _, wire = self.join()
         self.turn()
         self.run_for(0.2)
-        self.host.hold_back(worker, True)
-        self.host.weigh(0, worker, 0.0)
+        self.host.set_withdrawn(worker, True)
+        self.host.set_weight(0, worker, 0.0)
         self.turn()
-        self.host.hold_back(worker, False)
+        self.host.set_withdrawn(worker, False)
         self.turn()
         wire.lines()
-        self.host.weigh(0, worker, 1.0)
+        self.host.set_weight(0, worker, 1.0)
         self.turn()
         self.assertEqual(wire.lines(), ["CONFIG undrop=s0 part=1", "CONFIG for=ask+pay rows=s0:1"])
 
@@ -429,8 +429,8 @@
         self.run_for(0.2)
         wire.lines()
         before = self.host.lines
-        self.host.gate(0, [ASK], 0.5, Retry.UNSENT)
-        self.host.gate(0, [PAY], 0.9, Retry.UNSENT)
+        self.host.set_level(0, [ASK], 0.5, Retry.UNSENT)
+        self.host.set_level(0, [PAY], 0.9, Retry.UNSENT)
         self.host.checkpoint(9, False)
         self.turn()
         self.assertEqual(
@@ -445,11 +445,11 @@
         self.run_for(0.2)
         wire.lines()
         for k in range(25_000):
-            self.host.weigh(
+            self.host.set_weight(
                 0, self.workers.entry(f"w{k}", "a", "m", 0, Availability.READY, 1.0, 0).worker, 1.0
             )
         self.host.checkpoint(9, False)
-        (port,) = self.host.ports.values()
+        (port,) = self.host.joined_proxies.values()
         self.host.write(port)
         lines = wire.lines()
         self.assertEqual([line.endswith(" part=1") for line in lines], [True, True, False])
@@ -475,19 +475,19 @@
 
     def setUp(self) -> None:
         self.now, self.sent = 1000 * SECOND, list[int]()
-        self.host = StreamHost(7, FakeHost(cap=12).described, self.now, lambda *_: None, lambda *_: None)
+        self.host = StreamHost(7, FakeHost(cap=12).manager_args, self.now, lambda *_: None, lambda *_: None)
         catalog = Catalog(Workers(), lambda ms: 1, lambda *_: None)
-        told = catalog.line(listing(1, *(entry(f"s{k}") for k in range(6))))
+        told = catalog.read_line(listing(1, *(entry(f"s{k}") for k in range(6))))
         assert told is not None
         self.take(0.0, told)
 
     def take(self, seconds: float, *events: Event) -> None:
         end = self.now + int(seconds * SECOND)
-        self.host.take(self.now, events)
+        self.host.process_batch(self.now, events)
         while self.now < end:
             due = self.host.next()
             self.now = min(end, due if due is not None else end)
-            self.host.take(self.now)
+            self.host.process_batch(self.now)
 
     def join(self) -> None:
         story = self
@@ -496,7 +496,7 @@
             def send(self, message: bytes) -> None:
                 story.sent.append(story.now)
 
-            def drop(self) -> None:
+            def abort(self) -> None:
                 pass
 
         self.take(0.1, *self.host.join(0, "a", 9.0, True, Stream()))
@@ -517,7 +517,7 @@
     def test_one_that_leaves_while_it_waits_is_forgotten(self) -> None:
         for _ in range(13):
             self.join()
-        port = self.host.ports[0]
+        port = self.host.joined_proxies[0]
         self.assertIsNotNone(self.host.leave(0, port.stream))
         before = len(self.sent)
         self.take(20.0)
@@ -548,7 +548,7 @@
                         len(self.catalog.known),
                         len(self.front.open),
                         len(self.host.manager._fleet.servers),
-                        len(self.host.ports),
+                        len(self.host.joined_proxies),
                     )
                 )
         for early, late in zip(sizes[1], sizes[-1], strict=True):
@@ -565,7 +565,7 @@
             self.join(number, "ab"[number % 2])
         self.turn()
         self.run_for(1)
-        names = {server.name: weight for server, weight in fake.lines(0).items()}
+        names = {server.name: weight for server, weight in fake.table_weights(0).items()}
         self.assertEqual({server.name for server in self.host._tables[0].lines}, set(names))
         self.assertEqual({s.name: round(w, 3) for s, w in self.host._tables[0].lines.items()}, names)
 
@@ -576,7 +576,7 @@
         self.catalog = Catalog(self.workers, lambda ms: int(ms) * 10, lambda *note: self.notes.append(note))
 
     def told(self, line: bytes) -> Listing[Any]:
-        found = self.catalog.line(line)
+        found = self.catalog.read_line(line)
         assert found is not None
         return found
 
@@ -603,9 +603,9 @@
             b"[" * 5000,
         ):
             with self.assertRaises(Faulty):
-                self.catalog.line(line)
-        self.assertIsNone(self.catalog.line(listing(6)))  # an older answer, empty
-        self.assertIsNone(self.catalog.line(b"\r"))
+                self.catalog.read_line(line)
+        self.assertIsNone(self.catalog.read_line(listing(6)))  # an older answer, empty
+        self.assertIsNone(self.catalog.read_line(b"\r"))
         self.assertEqual(set(self.states()), {"a", "b"})
 
     def test_an_entry_that_can_not_be_read_leaves_its_worker_as_it_stood(self) -> None:
@@ -626,9 +626,9 @@
     def test_the_same_start_stays_the_same_start_though_clocks_drift(self) -> None:
         drift = iter(range(1, 99))
         catalog = Catalog(self.workers, lambda ms: int(ms) * 10 + next(drift), lambda *note: None)
-        first = catalog.line(listing(1, entry("a", started_ms=5)))
-        again = catalog.line(listing(2, entry("a", started_ms=5)))
-        anew = catalog.line(listing(3, entry("a", started_ms=6)))
+        first = catalog.read_line(listing(1, entry("a", started_ms=5)))
+        again = catalog.read_line(listing(2, entry("a", started_ms=5)))
+        anew = catalog.read_line(listing(3, entry("a", started_ms=6)))
         assert first and again and anew
         self.assertEqual(first.entries[0].started_at, again.entries[0].started_at)
         self.assertNotEqual(again.entries[0].started_at, anew.entries[0].started_at)
@@ -809,8 +809,8 @@
         self.sent, self.heard, self.notes = list[Any](), list[Any](), list[Any]()
         self.peers = [("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)]
 
-    def link(self, everyone: tuple[str, int] | None) -> BareLink:
-        link = BareLink(
+    def link(self, everyone: tuple[str, int] | None) -> RawPeerLink:
+        link = RawPeerLink(
             1,
             self.peers,
             everyone,
@@ -873,7 +873,7 @@
 
     def test_refusals_and_silence_have_their_names(self) -> None:
         away = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        self.assertEqual(self.probe(away)[1], [(ProbeResult.TURNED_AWAY, b"")])
+        self.assertEqual(self.probe(away)[1], [(ProbeResult.REJECTED, b"")])
         self.assertEqual(self.probe(after=1.1)[1], [(ProbeResult.TIMED_OUT, b"")])
         half = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nutil=0.6"
         _, found, wire = self.probe(half, after=1.1)
@@ -893,7 +893,7 @@
             (b"", (ProbeResult.RESET, b"")),
             (b"HTTP/1.1 200 O", (ProbeResult.RESET, b"")),
             (b"HTTP/1.1 200 OK\r\n\r\nutil=0.6", (ProbeResult.OK, b"util=0.6")),
-            (b"HTTP/1.1 503 x\r\nContent-Length: 9\r\n\r\nu", (ProbeResult.TURNED_AWAY, b"u")),
+            (b"HTTP/1.1 503 x\r\nContent-Length: 9\r\n\r\nu", (ProbeResult.REJECTED, b"u")),
         ):
             with self.subTest(said):
                 reactor, found = MemoryReactorClock(), list[Any]()
@@ -920,7 +920,7 @@
         for said, ended in (
             (b"HTTP/1.1 200 OK\r\n", ProbeResult.OK),
             (b"HTTP/1.0 204\r\n", ProbeResult.OK),
-            (b"HTTP/1.1 503 x\r\n", ProbeResult.TURNED_AWAY),
+            (b"HTTP/1.1 503 x\r\n", ProbeResult.REJECTED),
             (b"HTTP/1.1 500 x\r\n", ProbeResult.ERROR),
             (b"+OK\r\n", ProbeResult.ERROR),
             (b"HTTP/1.1 2000\r\n", ProbeResult.ERROR),
@@ -971,7 +971,7 @@
             node, reactor = self.node(entry("s-0"), entry("s-1"))
             server = node.workers.get("s-0")
             node._probe(server)
-            node.catalog.line(listing(42, changed, full=False))
+            node.catalog.read_line(listing(42, changed, full=False))
             factory: Any = reactor.tcpClients[0][2]
             factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
             self.assertEqual([event.worker for event in node._batch], [server] if counts else [])
@@ -1003,15 +1003,15 @@
         for wrong in (0, -5, float("inf")):
             config = story.config()
             config["settings"]["family_info"]["egress_per_s"] = wrong
-            with self.assertRaisesRegex(Unfit, "egress_per_s"):
-                birth(config["settings"])
+            with self.assertRaisesRegex(SettingsError, "egress_per_s"):
+                manager_arguments(config["settings"])
 
     def test_one_that_waited_for_its_turn_is_probed_where_it_is_then(self) -> None:
         node, reactor = self.node(entry("s-0"), *(entry(f"s-{k}") for k in range(1, 80)))
         for k in range(80):
             node._probe(node.workers.get(f"s-{k}"))
         waits = f"s-{len(reactor.tcpClients)}"
-        node.catalog.line(listing(42, {**entry(waits), "addr": "127.0.0.1:10"}, full=False))
+        node.catalog.read_line(listing(42, {**entry(waits), "addr": "127.0.0.1:10"}, full=False))
         reactor.tcpClients[0][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
         self.assertEqual(reactor.tcpClients[-1][1], 10)
 
@@ -1023,17 +1023,17 @@
             send = staticmethod(sent.append)
 
         joined = node.host.join(3, "a", 9.0, True, Stream())
-        take, broken = node.host.manager.take, Left(node.host.ports[3].gateway)
+        take, broken = node.host.manager.handle, Left(node.host.joined_proxies[3].gateway)
 
         def faulty(event: Event) -> None:
             if event is broken:
                 raise ZeroDivisionError
             take(event)
 
-        node.host.manager.take = faulty
+        node.host.manager.handle = faulty
         with self.assertRaises(ZeroDivisionError):
-            node.host.take(node.now(), [broken, *joined])
-        node.host.take(node.now() + SECOND)
+            node.host.process_batch(node.now(), [broken, *joined])
+        node.host.process_batch(node.now() + SECOND)
         self.assertIn(b"replace=1", sent[0])
 
 
@@ -1045,15 +1045,15 @@
             def warning(self, kind: str, why: str, many: int) -> None:
                 lines.append((kind, many))
 
-        notes = Notes(Log(), clock)
+        notes = ThrottledLog(Log(), clock)
         for _ in range(1000):
             notes.note("spoilt", "x")
-        clock.advance(SAME_AGAIN)
+        clock.advance(REPEAT_INTERVAL_SECONDS)
         notes.note("spoilt", "x")
         for kind in range(1000):
             notes.note(str(kind), "x")
         self.assertEqual(lines[:2], [("spoilt", 1), ("spoilt", 1000)])
-        self.assertLessEqual(len(lines), KINDS + 3)
+        self.assertLessEqual(len(lines), MAX_KINDS + 3)
         self.assertEqual(sum(notes.counts.values()), 2001)
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -21,30 +21,30 @@
 from rushladder.store.log import Log
 from rushladder.store.memory import (
     DAY,
-    FADES,
+    DECAYS,
     HOUR,
-    LEAP,
+    EPOCH_MARGIN,
     MINORS,
     MINUTE,
-    REPORTS,
+    FRESH_REPORTS,
     SECOND,
-    SLACK,
+    CLOCK_SLACK,
     Aspect,
     Kind,
-    Known,
-    Notebook,
-    Standing,
-    proven,
-    recalled,
-    recalled_demand,
-    weight,
+    ServerKnowledge,
+    ServerRecords,
+    ListedServer,
+    reliability,
+    recall_server,
+    recall_demand,
+    decay_weight,
 )
 from rushladder.store.store_pb2 import CommandMemory, DemandMemory, ServerMemory
 from rushladder.store.writer import Writer
-from tests.world import Log as WorldLog, World
+from tests.fake_cluster import FakeCluster, RecordingLog
 
 NOW = 1_700_000_000_000
-HERE = Standing("a", "m", 0)
+HERE = ListedServer("a", "m", 0)
 
 
 def memory(age: int, **more: Any) -> ServerMemory:
@@ -57,14 +57,14 @@
     @given(st.sampled_from(Aspect), st.integers(0, 8 * DAY), st.integers(0, 8 * DAY))
     def test_what_is_older_never_counts_for_more(self, aspect: Aspect, one: int, other: int) -> None:
         older, newer = max(one, other), min(one, other)
-        self.assertLessEqual(weight(aspect, older), weight(aspect, newer))
-        self.assertEqual(weight(aspect, FADES[aspect].end), 0.0)
-        self.assertEqual(weight(aspect, -SLACK - 1), 0.0)
+        self.assertLessEqual(decay_weight(aspect, older), decay_weight(aspect, newer))
+        self.assertEqual(decay_weight(aspect, DECAYS[aspect].end), 0.0)
+        self.assertEqual(decay_weight(aspect, -CLOCK_SLACK - 1), 0.0)
 
     def test_a_fresh_memory_counts_as_reports_and_one_a_day_old_for_little(self) -> None:
-        fresh, old = recalled("s", memory(0), HERE, NOW), recalled("s", memory(DAY), HERE, NOW)
+        fresh, old = recall_server("s", memory(0), HERE, NOW), recall_server("s", memory(DAY), HERE, NOW)
         assert fresh is not None and old is not None
-        self.assertEqual((fresh.pace, fresh.factor, fresh.heard), (0.5, 0.4, REPORTS))
+        self.assertEqual((fresh.pace, fresh.factor, fresh.heard), (0.5, 0.4, FRESH_REPORTS))
         self.assertLess(old.heard, 1)
         self.assertGreater(old.pace, 0.9)
 
@@ -73,40 +73,42 @@
             (memory(0, region="b"), HERE),
             (memory(0, model="n"), HERE),
             (memory(0), None),
-            (memory(MINUTE), Standing("a", "m", NOW - SECOND)),
+            (memory(MINUTE), ListedServer("a", "m", NOW - SECOND)),
             (memory(-MINUTE), HERE),
             (memory(8 * DAY), HERE),
             (memory(0, pace=math.nan), HERE),
             (memory(0, pace=0.0), HERE),
             (memory(0, factor=-1.0), HERE),
         ):
-            self.assertIsNone(recalled("s", kept, standing, NOW))
+            self.assertIsNone(recall_server("s", kept, standing, NOW))
 
     def test_one_that_was_out_when_the_manager_died_is_tried_out_again(self) -> None:
         kept = memory(2 * SECOND, out_for=8000, out_until=NOW + 3000, pace=1.0, factor=1.0)
-        known = recalled("s", kept, HERE, NOW)
+        known = recall_server("s", kept, HERE, NOW)
         assert known is not None
         self.assertAlmostEqual(known.factor, 0.2)
         self.assertGreater(known.out_for, 7000)
-        later = recalled("s", memory(10 * MINUTE, out_for=8000, out_until=NOW, factor=1.0), HERE, NOW)
+        later = recall_server("s", memory(10 * MINUTE, out_for=8000, out_until=NOW, factor=1.0), HERE, NOW)
         assert later is not None
         self.assertEqual((later.factor, later.out_for), (1.0, 0))
 
     def test_a_server_whose_memories_do_not_come_true_is_remembered_less(self) -> None:
-        self.assertEqual((proven(0, 0), proven(5, 1)), (1.0, 1.0))
-        self.assertLess(proven(0, 3), 0.3)
-        book = Notebook({(Kind.SERVER, "s"): memory(0).SerializeToString()})
+        self.assertEqual((reliability(0, 0), reliability(5, 1)), (1.0, 1.0))
+        self.assertLess(reliability(0, 3), 0.3)
+        book = ServerRecords({(Kind.SERVER, "s"): memory(0).SerializeToString()})
         book.recall({"s": HERE}, NOW)
-        [(_, payload)] = book.learned([Known("s", "a", "m", 1.2, 1.0, 2 * REPORTS)], NOW + MINUTE)
+        [(_, payload)] = book.update(
+            [ServerKnowledge("s", "a", "m", 1.2, 1.0, 2 * FRESH_REPORTS)], NOW + MINUTE
+        )
         self.assertEqual(ServerMemory.FromString(payload).wrong, 1.0)
-        self.assertEqual(book.learned([Known("s", "a", "m", 1.21, 1.0, 30)], NOW + MINUTE), [])
+        self.assertEqual(book.update([ServerKnowledge("s", "a", "m", 1.21, 1.0, 30)], NOW + MINUTE), [])
 
     def test_demand_of_an_hour_ago_counts_for_nothing_and_of_now_for_all(self) -> None:
         for age, busy in ((0, 0.8), (10 * MINUTE, 0.65), (HOUR, None)):
             kept = DemandMemory(at=NOW - age, quiet=150, mix={"x": 0.8, "y": 0.2})
-            found = recalled_demand(kept, ["x", "y"], NOW)
+            found = recall_demand(kept, ["x", "y"], NOW)
             self.assertAlmostEqual(found.mix["x"], busy) if found and busy else self.assertIsNone(found)
-        self.assertIsNone(recalled_demand(DemandMemory(at=NOW, mix={"x": 1.0}), ["x", "y"], NOW))
+        self.assertIsNone(recall_demand(DemandMemory(at=NOW, mix={"x": 1.0}), ["x", "y"], NOW))
 
     @settings(derandomize=True, deadline=None)
     @given(st.floats(), st.floats(), st.floats(), st.integers(0, 2**40), st.integers(-DAY, 9 * DAY))
@@ -114,9 +116,11 @@
         self, pace: float, factor: float, right: float, out: int, age: int
     ) -> None:
         kept = memory(age, pace=pace, factor=factor, right=right, wrong=1, out_for=out, out_until=out)
-        known = recalled("s", kept, HERE, NOW)
+        known = recall_server("s", kept, HERE, NOW)
         if known is not None:
-            self.assertTrue(0 < known.pace <= 100 and 0 < known.factor <= 100 and 0 <= known.heard <= REPORTS)
+            self.assertTrue(
+                0 < known.pace <= 100 and 0 < known.factor <= 100 and 0 <= known.heard <= FRESH_REPORTS
+            )
 
 
 class JournalStories(unittest.TestCase):
@@ -124,7 +128,7 @@
         journal = Journal()
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.RUN)
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.WAIT)
-        journal.answered("a", "done\n")
+        journal.record_answer("a", "done\n")
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.ANSWER)
         self.assertIs(journal.begin("a", "set server x", True, NOW), Effect.REFUSE)
 
@@ -139,14 +143,14 @@
         for k in range(1500):
             journal.begin(f"c{k}", "show info", True, NOW + k)
             if k:
-                journal.answered(f"c{k}", "")
-            journal.fade(NOW + k)
+                journal.record_answer(f"c{k}", "")
+            journal.expire(NOW + k)
         self.assertEqual(len(journal), 1000)
-        journal.fade(NOW + 2 * DAY)
+        journal.expire(NOW + 2 * DAY)
         self.assertEqual(len(journal), 1)  # the one that is still running
 
 
-class Remembered(World):
+class Remembered(FakeCluster):
     """A world whose managers keep what they learn on a disk that can lose power."""
 
     def __init__(self, **more: Any) -> None:
@@ -157,21 +161,21 @@
         return self.wall_ahead + self.clock.seconds()
 
     def start_manager(self, name: str, restored: str = "") -> Manager:
-        self.logs[name] = WorldLog()
+        self.logs[name] = RecordingLog()
         folder = self.folders.setdefault(name, Folder())
         log = Log(folder, self.fleet, name, MINORS, wall=lambda: int(1000 * self.wall()))
         log.open()
         writer = Writer(log, self.clock, at_once, lambda why: None)
         remembering = Persistence(log, writer, self.clock, self.wall)
         manager = Manager(
-            read_plan(self.plan(name), "plan"),
+            read_plan(self.config_text(name), "plan"),
             self.clock,
             lambda site, client: self.connect(name, site, client),
             self.prober,
             self.logs[name],
             memory=remembering,
         )
-        writer.on_fault = manager.record_error
+        writer.on_error = manager.record_error
         self.managers[name] = manager
         manager.start()
         return manager
@@ -209,29 +213,29 @@
 class RestartStories(unittest.TestCase):
     def test_learned_speeds_are_there_from_the_first_table_on(self) -> None:
         world = Remembered(servers=6)
-        world.slow = {"s0": 0.45, "s2": 0.15, "s4": 0.15}
+        world.service_time = {"s0": 0.45, "s2": 0.15, "s4": 0.15}
         world.run(40, 20)
-        before = world.usable("g0", "ask")
+        before = world.usable_weights("g0", "ask")
         world.power_cut("m0")
         learned = world.managers["m0"].roster["s0"].server
         self.assertLess(learned.factor, 0.75)
         world.run(3, 20)
-        again = world.usable("g0", "ask")
+        again = world.usable_weights("g0", "ask")
         self.assertLess(abs(again["s0"] / sum(again.values()) - before["s0"] / sum(before.values())), 0.06)
 
     def test_memory_of_a_day_ago_steers_nothing(self) -> None:
         world = Remembered(servers=6)
-        world.slow = {"s0": 0.45}
+        world.service_time = {"s0": 0.45}
         world.run(40, 20)
         world.kill("m0")
         world.wall_ahead += 86_400
         manager = world.start_manager("m0")
         self.assertGreater(manager.roster["s0"].server.factor, 0.9)
-        self.assertLess(manager.roster["s0"].server.heard, 1)
+        self.assertLess(manager.roster["s0"].server.report_count, 1)
 
     def test_a_clock_set_back_makes_memory_worth_nothing_and_harms_nothing(self) -> None:
         world = Remembered(servers=6)
-        world.slow = {"s0": 0.45}
+        world.service_time = {"s0": 0.45}
         world.run(30, 20)
         world.kill("m0")
         world.wall_ahead -= 7200
@@ -249,7 +253,7 @@
         world.gateways["g0"].backends["ask"]["s0"].admin = "ready"  # an operator's own hand
         world.power_cut("m0")
         world.run(8, 10)
-        self.assertNotIn("s0", world.usable("g0", "ask"))
+        self.assertNotIn("s0", world.usable_weights("g0", "ask"))
         wrote = [
             (when, words)
             for when, site, words, _ in world.sent
@@ -272,21 +276,21 @@
         self.assertEqual((started.cold_starts, started.pace), (1, 1.0))
         self.assertLess(core.ramp(world.managers["m0"].roster["s0"].server), 0.5)
         world.run(5, 10)
-        parts = world.usable("g0", "ask")
+        parts = world.usable_weights("g0", "ask")
         self.assertLess(parts.get("s0", 0), 0.8 * max(parts.values()))
 
     def test_epochs_go_on_even_where_gateway_and_disk_both_forgot(self) -> None:
         world = Remembered()
         world.run(8, 5)
-        before = world.managers["m0"].drivers[0].holding.epoch
+        before = world.managers["m0"].drivers[0].election.epoch
         world.kill("m0")
         world.start_gateway("g0", pid=2)
         world.start_manager("m0")
         world.run(8, 5)
-        self.assertGreater(world.managers["m0"].drivers[0].holding.epoch, before + LEAP - 1)
+        self.assertGreater(world.managers["m0"].drivers[0].election.epoch, before + EPOCH_MARGIN - 1)
 
     def test_a_process_that_was_replaced_gives_way_and_sends_nothing_more(self) -> None:
-        world = World()
+        world = FakeCluster()
         world.run(8, 5)
         old = world.managers["m0"]
         stopped = list[bool]()
@@ -295,34 +299,34 @@
         world.run(12, 5)
         self.assertEqual(stopped, [True])
         self.assertIn("replaced by a later process", old.errors[-1].message)
-        self.assertEqual(len(new.core.ports), 2)
-        self.assertFalse(old.core.ports)
+        self.assertEqual(len(new.core.sessions), 2)
+        self.assertFalse(old.core.sessions)
 
     def test_operators_factors_stand_after_a_restart_and_a_wave_is_taken_back(self) -> None:
         world = Remembered(gateways=4, servers=8)
         world.run(12, 10)
         world.say("m0", "set weight ask/s0 90%")
         world.run(2, 10)
-        first = world.managers["m0"].core.warden.history.current
+        first = world.managers["m0"].core.table_guard.history.current
         world.say("m0", "set weight ask/s2 30%")
         world.run(1, 10)
-        wave = world.managers["m0"].core.warden.wave
-        assert wave is not None and not wave.over
+        wave = world.managers["m0"].core.table_guard.wave
+        assert wave is not None and not wave.finished
         world.power_cut("m0")
-        warden = world.managers["m0"].core.warden
-        self.assertEqual(warden.history.current, first)
-        self.assertEqual((warden.factor("ask", "s0"), warden.factor("ask", "s2")), (0.9, 1.0))
-        self.assertIn("started anew", warden.history[wave.number].state)
+        table_guard = world.managers["m0"].core.table_guard
+        self.assertEqual(table_guard.history.current, first)
+        self.assertEqual((table_guard.factor("ask", "s0"), table_guard.factor("ask", "s2")), (0.9, 1.0))
+        self.assertIn("started anew", table_guard.history[wave.number].state)
 
     def test_a_command_with_an_id_takes_effect_once_over_a_power_cut(self) -> None:
         world = Remembered()
         world.run(10, 5)
         answer = world.say("m0", "once id-1 set weight ask/s0 95%")
-        versions = len(world.managers["m0"].core.warden.history.all())
+        versions = len(world.managers["m0"].core.table_guard.history.all())
         manager = world.power_cut("m0")
         world.run(8, 5)
         self.assertEqual(world.say("m0", "once id-1 set weight ask/s0 95%"), answer)
-        self.assertEqual(len(manager.core.warden.history.all()), versions)
+        self.assertEqual(len(manager.core.table_guard.history.all()), versions)
         self.assertIn("taken by another command", world.say("m0", "once id-1 set weight ask/s0 50%"))
         self.assertIn("Commands_from_record: 1\n", world.say("m0", "show store"))
 
@@ -336,11 +340,11 @@
         world.run(40, 5)
         self.assertEqual(world.say("m0", "once id-2 set server fleet/s0 state drain"), "")
         world.run(3, 5)
-        self.assertNotIn("s0", world.usable("g0", "ask"))
+        self.assertNotIn("s0", world.usable_weights("g0", "ask"))
 
     def test_all_managers_restarted_at_once_make_no_storm_past_the_cap(self) -> None:
         world = Remembered(gateways=4, managers=2, servers=6)
-        world.slow = {"s0": 0.45, "s1": 0.45}
+        world.service_time = {"s0": 0.45, "s1": 0.45}
         world.run(30, 20)
         for name in ("m0", "m1"):
             world.kill(name)
