--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,9 +20,9 @@
 from twisted.internet.task import Clock
 
 from rushladder.standins.folder import Entries, Folder, Tail
-from rushladder.store.files import Disk, Locked
-from rushladder.store.frames import BODY, HEAD, Damage, Record, frame, frames
-from rushladder.store.log import ASIDE, Log, Migrations, Refused, number_of
+from rushladder.store.files import Disk, FolderLocked
+from rushladder.store.frames import BODY, HEAD, Damage, Record, encode_frame, decode_frames
+from rushladder.store.log import ASIDE, Log, Migrations, IncompatibleStore, file_number
 from rushladder.store.writer import FIRST_WAIT, GATHER, Writer
 from rushladder.trials.crashes import explore, new_log, rot, run
 
@@ -40,8 +40,8 @@
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.one_of(RECORDS, st.binary(max_size=20)), max_size=12))
     def test_records_are_read_back_whatever_stands_between_them(self, parts: list[Record | bytes]) -> None:
-        data = b"".join(part if isinstance(part, bytes) else frame(part) for part in parts)
-        read = [part for part in frames(data) if isinstance(part, Record)]
+        data = b"".join(part if isinstance(part, bytes) else encode_frame(part) for part in parts)
+        read = [part for part in decode_frames(data) if isinstance(part, Record)]
         self.assertEqual(read, [part for part in parts if not isinstance(part, bytes)])
 
     @settings(derandomize=True, deadline=None)
@@ -49,9 +49,9 @@
     def test_a_turned_bit_costs_the_record_it_is_in_and_no_other(
         self, records: list[Record], at: int, bit: int
     ) -> None:
-        data = bytearray(b"".join(map(frame, records)))
+        data = bytearray(b"".join(map(encode_frame, records)))
         data[at % len(data)] ^= 1 << bit
-        parts = list(frames(bytes(data)))
+        parts = list(decode_frames(bytes(data)))
         read = [part for part in parts if isinstance(part, Record)]
         self.assertEqual(len(read), len(records) - 1)
         self.assertTrue(all(record in records for record in read))
@@ -59,7 +59,7 @@
 
     def test_a_record_too_long_to_be_read_is_not_written(self) -> None:
         with self.assertRaises(ValueError):
-            frame(Record(1, 1, 0, "k", bytes(1 << 20)))
+            encode_frame(Record(1, 1, 0, "k", bytes(1 << 20)))
 
 
 class CrashStories(unittest.TestCase):
@@ -96,7 +96,7 @@
             log.commit()
         name = f"log-{log.segment:016d}"
         data = folder.read(name)
-        folder._files[name].data = data.replace(frame(Record(2, 1, 0, "k1", b"value")), b"x" * 30)
+        folder._files[name].data = data.replace(encode_frame(Record(2, 1, 0, "k1", b"value")), b"x" * 30)
         again = new_log(folder)
         at = data.find(b"k1") - HEAD.size - BODY.size
         self.assertEqual(again.open().damage, [f"{name}: damaged: 30 bytes at {at}: no mark"])
@@ -111,7 +111,7 @@
             for turn in range(200):
                 log.put(1, f"k{turn % 10}", b"%d" % turn * 8)
                 log.commit()
-                if log.due:
+                if log.snapshot_due:
                     log.snapshot()
             name = f"log-{log.segment:016d}"
             folder._files[name].data = b"rubbish" + folder._files[name].data[7:]
@@ -123,7 +123,7 @@
         run(folder, 5, 1)
         before = {name: folder.read(name) for name in folder.names()}
         for fleet, manager in (("other", "m1"), ("fleet", "m2")):
-            with self.assertRaises(Refused):
+            with self.assertRaises(IncompatibleStore):
                 Log(folder, fleet, manager, {1: 0}).open()
         self.assertEqual({name: folder.read(name) for name in folder.names()}, before)
 
@@ -180,7 +180,7 @@
         writer, sure = Writer(self.log, self.clock, self.at_once, self.faults.append), list[None]()
         for k in range(100):
             writer.put(1, f"k{k % 10}", b"%d" % k)
-        writer.sure().addCallback(sure.append)
+        writer.flush().addCallback(sure.append)
         self.assertEqual((sure, self.log.synced), ([], 0))
         self.clock.advance(GATHER)
         self.assertEqual((sure, self.log.synced, writer.batches), ([None], 10, 1))
@@ -192,7 +192,7 @@
         for k in range(1000):
             writer.put(1, f"k{k % 7}", b"%d" % k)
             self.clock.advance(0.01)
-        writer.sure().addCallback(sure.append)
+        writer.flush().addCallback(sure.append)
         self.assertEqual((len(writer), len(self.slow)), (7, 1))
         self.slow.pop()()
         self.assertEqual(sure, [])  # what it waits for is in the next batch
@@ -204,13 +204,13 @@
         writer, sure = Writer(self.log, self.clock, self.at_once, self.faults.append), list[None]()
         self.folder.read_only = True
         writer.put(1, "a", b"old")
-        writer.sure().addCallback(sure.append)
+        writer.flush().addCallback(sure.append)
         self.clock.pump([0.1] * 100)
-        self.assertEqual((len(self.faults), sure, writer.behind), (5, [], True))
+        self.assertEqual((len(self.faults), sure, writer.failing), (5, [], True))
         writer.put(1, "a", b"new")
         self.folder.read_only = False
         self.clock.pump([FIRST_WAIT] * 80)
-        self.assertEqual((sure, self.log.state[1, "a"], writer.behind), ([None], b"new", False))
+        self.assertEqual((sure, self.log.state[1, "a"], writer.failing), ([None], b"new", False))
 
     def test_stopping_writes_what_waits_and_does_not_hang_on_a_dead_disk(self) -> None:
         for dead in (False, True):
@@ -226,7 +226,7 @@
 import sys
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
-log = Log(Disk(sys.argv[1]), "fleet", "m1", {1: 0}, segment=4000, least=8000)
+log = Log(Disk(sys.argv[1]), "fleet", "m1", {1: 0}, segment_bytes=4000, min_snapshot_bytes=8000)
 log.open()
 turn = int(log.state.get((1, "turn"), b"0"))
 while True:
@@ -236,7 +236,7 @@
     log.put(1, "turn", b"%d" % turn)
     log.commit()
     print(turn, flush=True)
-    if log.due:
+    if log.snapshot_due:
         log.snapshot()
 """
 
@@ -273,7 +273,7 @@
 
     def test_one_writer_a_folder(self) -> None:
         first = Disk(self.folder)
-        with self.assertRaises(Locked):
+        with self.assertRaises(FolderLocked):
             Disk(self.folder)
         first.close()
         Disk(self.folder).close()
@@ -281,7 +281,7 @@
     def test_a_folder_that_is_gone_is_an_error_and_not_the_end(self) -> None:
         disk = Disk(self.folder)
         self.addCleanup(disk.close)
-        log = Log(disk, "fleet", "m1", {1: 0}, segment=200)
+        log = Log(disk, "fleet", "m1", {1: 0}, segment_bytes=200)
         log.open()
         for name in disk.names():
             os.unlink(Path(self.folder, name))
@@ -299,7 +299,10 @@
 
     def test_names_that_are_not_ours_are_let_alone(self) -> None:
         self.assertEqual(
-            [number_of(name) for name in ("log-1", "snap-0000000000000012", "log-00000000000000x2", "notes")],
+            [
+                file_number(name)
+                for name in ("log-1", "snap-0000000000000012", "log-00000000000000x2", "notes")
+            ],
             [None, 12, None, None],
         )
 
