--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -345,9 +345,9 @@
                 )
             ]
             levels = [
-                int(float(self._core.format_level(tbl.gates[product][0])))
-                for port in self._core.sessions.values()
-                if (tbl := port.tables.get(product)) is not None and product in tbl.gates
+                int(float(self._core.format_level(table.gates[product][0])))
+                for session in self._core.sessions.values()
+                if (table := session.tables.get(product)) is not None and product in table.gates
             ]
             rows.append(
                 {
@@ -362,32 +362,32 @@
                     "gateways": len(self._core.sessions),
                 }
             )
-        used = dict[str, int]()
-        for port in self._core.sessions.values():
-            carried = {
+        gateway_counts = dict[str, int]()
+        for session in self._core.sessions.values():
+            servers = {
                 key[1]
-                for key, line in port.held.lines.items()
+                for key, line in session.held.lines.items()
                 if line.weight and line.admin is AdminState.READY
             }
-            for server in carried:
-                used[server] = used.get(server, 0) + 1
-        for one in self._roster.listed.values():
-            count, voided, _, _, rate = one.server.recent_totals(now, 5)
+            for server in servers:
+                gateway_counts[server] = gateway_counts.get(server, 0) + 1
+        for listed in self._roster.listed.values():
+            count, voided, _, _, rate = listed.server.recent_totals(now, 5)
             rows.append(
                 {
                     "pxname": FLEET,
-                    "svname": one.server.name,
+                    "svname": listed.server.name,
                     "stot": int(count),
                     "eresp": int(voided),
-                    "status": STATUS[one.availability],
-                    "weight": one.size,
+                    "status": STATUS[listed.availability],
+                    "weight": listed.size,
                     "rate": round(rate, 1),
-                    "region": one.server.zone,
-                    "model": one.server.model,
-                    "listed": one.availability.name.lower(),
-                    "cold_permille": round(1000 * min(1.0, self._core.ramp(one.server))),
-                    "withdrawn": int(one.server in self._core.withdrawn),
-                    "gateways": used.get(one.server.name, 0),
+                    "region": listed.server.zone,
+                    "model": listed.server.model,
+                    "listed": listed.availability.name.lower(),
+                    "cold_permille": round(1000 * min(1.0, self._core.ramp(listed.server))),
+                    "withdrawn": int(listed.server in self._core.withdrawn),
+                    "gateways": gateway_counts.get(listed.server.name, 0),
                 }
             )
         return format_csv(COLUMNS, ([row.get(column, "") for column in COLUMNS] for row in rows))
@@ -401,12 +401,13 @@
             "srv_time_since_last_change srv_port region model\n"
         )
         bits = {Availability.READY: 0, Availability.DRAINING: 8, Availability.GONE: 1}
-        for index, one in enumerate(self._roster.listed.values(), 1):
-            host, port = one.address.rsplit(":", 1)
-            age = (now - one.started_at) // TENTHS_PER_SECOND if one.started_at else -1
+        for index, listed in enumerate(self._roster.listed.values(), 1):
+            host, port = listed.address.rsplit(":", 1)
+            age = (now - listed.started_at) // TENTHS_PER_SECOND if listed.started_at else -1
             text += (
-                f"1 {FLEET} {index} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
-                f"{bits[one.availability]} {one.size:g} {age} {port} {one.server.zone} {one.server.model}\n"
+                f"1 {FLEET} {index} {listed.server.name} {host} {0 if bits[listed.availability] & 1 else 2} "
+                f"{bits[listed.availability]} {listed.size:g} {age} {port} "
+                f"{listed.server.zone} {listed.server.model}\n"
             )
         return text
 
@@ -419,37 +420,39 @@
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
             raise CommandRefused("Unknown map identifier. Please use levels or retries.")
         text, index = "", 0
-        for port in self._core.sessions.values():
-            for key, value in self._core.maps(port)[words[2]].items():
+        for session in self._core.sessions.values():
+            for key, value in self._core.maps(session)[words[2]].items():
                 index += 1
-                text += f"0x{index:x} {port.gateway.name}/{key} {value}\n"
+                text += f"0x{index:x} {session.gateway.name}/{key} {value}\n"
         return text
 
     def sess(self, words: tuple[str, ...]) -> str:
         now, text = clock_tenths(self._manager.clock), ""
         for driver in self._manager.drivers:
-            port, hold = driver.session, driver.election
+            session, election = driver.session, driver.election
             text += (
-                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.state.name.lower()} "
-                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
+                f"{driver.gateway.name}: region={driver.gateway.zone} stand={election.state.name.lower()} "
+                f"epoch={election.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
             )
-            if port is not None:
-                age = (now - port.sent_at) // 10 if port.sent_at else 0
+            if session is not None:
+                age = (now - session.sent_at) // 10 if session.sent_at else 0
                 text += (
-                    f" owed={port.pending_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
-                    f"lines={len(port.held.lines)}"
+                    f" owed={session.pending_lines} sent={session.sent_lines} age={age}ms "
+                    f"messages={session.messages} lines={len(session.held.lines)}"
                 )
             text += "\n"
         return text
 
     def table(self, words: tuple[str, ...]) -> str:
-        port = next((port for port in self._core.sessions.values() if port.gateway.name == words[2]), None)
-        if port is None:
+        session = next(
+            (session for session in self._core.sessions.values() if session.gateway.name == words[2]), None
+        )
+        if session is None:
             raise CommandRefused("No such gateway held here.")
         rows = list[list[object]]()
-        for product in port.tables:
-            for key, line in self._core.desired_lines(port, product).items():
-                held = port.held.lines.get(key)
+        for product in session.tables:
+            for key, line in self._core.desired_lines(session, product).items():
+                held = session.held.lines.get(key)
                 rows.append(
                     [
                         *key,
@@ -489,9 +492,9 @@
         self._core.mark_all_pending()
         self._manager.handle_events()
         wave = table_guard.wave
-        out = wave is not None and not wave.finished and wave.number == version.number
-        self._manager.log_event("table.accepted", version=version.number, why=version.why, wave=out)
-        return f"Version {version.number} {'goes out in waves' if out else 'stands'}.\n"
+        in_wave = wave is not None and not wave.finished and wave.number == version.number
+        self._manager.log_event("table.accepted", version=version.number, why=version.why, wave=in_wave)
+        return f"Version {version.number} {'goes out in waves' if in_wave else 'stands'}.\n"
 
     def weight(self, words: tuple[str, ...]) -> str:
         return self._propose(" ".join(words), [self._parse_factor(words[2], words[3])])
@@ -525,7 +528,7 @@
         if not words[2].isdigit():
             raise CommandRefused("Require a version's number.")
         table_guard = self._core.table_guard
-        keys = {key for one in table_guard.history.all() for key in one.factors}
+        keys = {key for version in table_guard.history.all() for key in version.factors}
         gateways = self._core.gateways_using(keys)
         return self._apply(lambda now: table_guard.rollback("operator", int(words[2]), gateways, now))
 
@@ -536,9 +539,11 @@
     def history(self, words: tuple[str, ...]) -> str:
         now, history = clock_tenths(self._manager.clock), self._core.table_guard.history
         return "# version parent age_s who lines state why\n" + "".join(
-            f"{one.number} {one.parent} {self._age(one.at, now)} {one.who} {len(one.factors)} "
-            f"{'current' if one.number == history.current else one.state.replace(' ', '_')} {one.why}\n"
-            for one in history.all()
+            f"{version.number} {version.parent} {self._age(version.at, now)} {version.who} "
+            f"{len(version.factors)} "
+            f"{'current' if version.number == history.current else version.state.replace(' ', '_')} "
+            f"{version.why}\n"
+            for version in history.all()
         )
 
     def diff(self, words: tuple[str, ...]) -> str:
@@ -553,8 +558,8 @@
     def refused(self, words: tuple[str, ...]) -> str:
         now = clock_tenths(self._manager.clock)
         return "".join(
-            f"[{(now - one.at) // TENTHS_PER_SECOND}s ago] {one.who}: {one.what}\n"
-            for one in self._core.table_guard.history.refused
+            f"[{(now - change.at) // TENTHS_PER_SECOND}s ago] {change.who}: {change.what}\n"
+            for change in self._core.table_guard.history.refused
         )
 
     def wave(self, words: tuple[str, ...]) -> str:
@@ -575,28 +580,31 @@
         rows = [
             [
                 name,
-                f"{one.reading.value():.3f}",
-                f"{(now - one.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
-                f"{one.reading.freshness(now):.2f}",
+                f"{sender.reading.value():.3f}",
+                f"{(now - sender.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
+                f"{sender.reading.freshness(now):.2f}",
                 f"{desk.hints.worth(name):.2f}",
                 f"{desk.current_hints.get(name, 1.0):.3f}",
-                one.reading.boot,
-                one.reading.newest,
-                one.agent.why if one.agent else "",
+                sender.reading.boot,
+                sender.reading.newest,
+                sender.agent.why if sender.agent else "",
             ]
-            for name, one in desk.senders.items()
-            if one.reading.boot >= 0 and words[2:3] in ((), (name,))
+            for name, sender in desk.senders.items()
+            if sender.reading.boot >= 0 and words[2:3] in ((), (name,))
         ]
         return format_csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
         desk, now = self._manager.desk, clock_tenths(self._manager.clock)
         loads, ages = desk.distributions(now)
-        text = "".join(f"{fate.name}: {count}\n" for fate, count in desk.counts.items())
-        text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
+        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in desk.counts.items())
+        text += "".join(
+            f"Lane: {receiver.pid} started {receiver.starts}\n" for receiver in self._manager.lanes
+        )
         for quantity, sketch in (("load", loads), ("age_s", ages)):
             text += "".join(
-                f"{quantity}_p{round(100 * part)}: {sketch.quantile(part):.3f}\n" for part in (0.5, 0.9, 0.99)
+                f"{quantity}_p{round(100 * fraction)}: {sketch.quantile(fraction):.3f}\n"
+                for fraction in (0.5, 0.9, 0.99)
             )
         return text + "".join(
             f"heavy: {sender} {count} dropped, over by {over} at most\n"
@@ -628,7 +636,8 @@
         }
         text = "".join(f"{key}: {value}\n" for key, value in facts.items())
         text += "".join(
-            f"server memories, {sign.value}: {count}\n" for sign, count in memory.record_counts.items()
+            f"server memories, {validity.value}: {count}\n"
+            for validity, count in memory.record_counts.items()
         )
         return text + "".join(f"set aside: {damage}\n" for damage in opened.damage)
 
@@ -638,7 +647,7 @@
         front = self._manager.dns
         if front is None:
             raise CommandRefused("No zone is configured.")
-        text = "".join(f"{fate.name}: {count}\n" for fate, count in front.counts.items())
+        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in front.counts.items())
         text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
         rows = list[list[object]]()
         for (product, region), pool in front.pools.items():
@@ -666,16 +675,16 @@
             [
                 product,
                 region,
-                asker.source,
-                asker.asked,
-                f"{pool.askers.volume(asker):.2f}",
-                f"{TENTHS_PER_SECOND / asker.wait if asker.wait else 0:.2f}",
-                int(asker.known()),
-                f"{(now - asker.last) / TENTHS_PER_SECOND:.1f}",
-                " ".join(asker.servers),
+                resolver.source,
+                resolver.asked,
+                f"{pool.askers.volume(resolver):.2f}",
+                f"{TENTHS_PER_SECOND / resolver.wait if resolver.wait else 0:.2f}",
+                int(resolver.known()),
+                f"{(now - resolver.last) / TENTHS_PER_SECOND:.1f}",
+                " ".join(resolver.servers),
             ]
             for (product, region), pool in front.pools.items()
-            for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[
+            for resolver in sorted(pool.askers.all(), key=lambda asker: -pool.askers.volume(asker))[
                 :MAX_RESOLVERS_SHOWN
             ]
         ]
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -28,9 +28,8 @@
 from rushladder.store.commands import Journal
 from rushladder.timing import TENTHS_PER_SECOND, Clock, DelayedCall, clock_tenths
 
-PERIOD_SECONDS = (
-    1.0  # control period; traffic is summed over it, the width of the decision module's time buckets
-)
+# Control period. Traffic is summed over it; it is the width of the decision module's time buckets.
+PERIOD_SECONDS = 1.0
 MAX_ERRORS = 100  # errors in `show errors`: an hour of one every half minute
 REPEAT_INTERVAL_SECONDS = 10.0  # a repeated error is counted, and logged at most once in this time
 
@@ -109,25 +108,25 @@
         self.restored = bool(restored) and self.roster.load(restored, now, int(age * TENTHS_PER_SECOND))
         if restored and not self.restored:
             self.record_error("the stored list is not complete and was ignored")
-        for site in config.collectors if not self.restored else ():
+        for collector in config.collectors if not self.restored else ():
             self.roster.add(
-                site.name,
-                site.region,
-                site.model,
-                site.size,
-                str(site.address),
+                collector.name,
+                collector.region,
+                collector.model,
+                collector.size,
+                str(collector.address),
                 0,
-                site.cell,
-                site.limit,
-                site.connections,
+                collector.cell,
+                collector.limit,
+                collector.connections,
             )
-        for site in config.collectors:
-            if (listed := self.roster.listed.get(site.name)) is not None:
-                listed.limit, listed.connections = site.limit, site.connections
+        for collector in config.collectors:
+            if (listed := self.roster.listed.get(collector.name)) is not None:
+                listed.limit, listed.connections = collector.limit, collector.connections
         self.saved_version = self.roster.version
         self.reports, self.peer_senders = TrafficSums(), deque[PeerSender](maxlen=1)
         self.desk, self.lanes = ReportProcessor(now, blind=config.trust_reports), list[ReportReceiver]()
-        self._register_reporters()
+        self._update_report_senders()
         self.core = Core(
             config.identity.seed * 1000 + config.identity.number,
             self.roster,
@@ -140,36 +139,35 @@
             may_probe=config.may_probe and prober is not None,
             now=now,
             guard=config.guard,
-            gateways=[(site.name, site.region, site.usual_rate) for site in config.gateways],
+            gateways=[(gateway.name, gateway.region, gateway.usual_rate) for gateway in config.gateways],
         )
-        hold = config.holding
-        lease, settle = lease_and_settle_times(hold.poll)
+        times = config.holding
+        lease, settle = lease_and_settle_times(times.poll)
         self.drivers = [
             GatewayDriver(
                 clock,
-                lambda client, site=site: connect(site, client),  # type: ignore[misc]
-                Gateway(site.name, site.region, site.usual_rate),
+                lambda client, gateway=gateway: connect(gateway, client),  # type: ignore[misc]
+                Gateway(gateway.name, gateway.region, gateway.usual_rate),
                 self.core,
                 self.reports,
                 HolderElection(
                     config.identity.name,
                     config.identity.region,
-                    site.region
-                    if config.peers
-                    else config.identity.region,  # a lone manager is at home everywhere
-                    takeover=hold.takeover,
+                    # Without peers, every gateway counts as one of the manager's own region.
+                    gateway.region if config.peers else config.identity.region,
+                    takeover=times.takeover,
                     settle=settle,
                     lease=lease,
-                    highest_epoch=memory.restore_epoch(site.name) if memory is not None else 0,
+                    highest_epoch=memory.restore_epoch(gateway.name) if memory is not None else 0,
                 ),
-                DriverTimes(hold.poll / TENTHS_PER_SECOND, hold.patience / TENTHS_PER_SECOND),
+                DriverTimes(times.poll / TENTHS_PER_SECOND, times.patience / TENTHS_PER_SECOND),
                 self._random.random,
                 log,
                 self.handle_events,
                 self.record_error,
                 self.step_down,
             )
-            for site in config.gateways
+            for gateway in config.gateways
         ]
         self._by_gateway: dict[Gateway, GatewayOwner] = {driver.gateway: driver for driver in self.drivers}
         self.dns = self._build_dns_front(wall)
@@ -185,6 +183,7 @@
         self._stopped = False
 
     def start(self) -> None:
+        """Starts the drivers, the DNS front and the control loop."""
         for driver in self.drivers:
             driver.start()
         if self.dns is not None:
@@ -193,7 +192,7 @@
         self.handle_events()
 
     def stop(self) -> None:
-        """Stops all activity. Gateways keep using the tables that they hold."""
+        """Stops all activity. Gateways keep using the tables that they times."""
         if self._stopped:
             return
         self._stopped = True
@@ -216,19 +215,19 @@
     def _carry_out_orders(self) -> None:
         probes, self.core.probes = self.core.probes, []
         for server in probes:
-            self._probe(server)
-        words, self.core.peer_messages = self.core.peer_messages, []
-        for data in words:
+            self._start_probe(server)
+        messages, self.core.peer_messages = self.core.peer_messages, []
+        for data in messages:
             for sender in self.peer_senders:
                 sender.send(data)
-        for port in self.core.take_pending_sessions():
-            self._by_gateway[port.gateway].kick()
-        wake = self.core.next_wake()
-        if wake is not None:
+        for session in self.core.take_pending_sessions():
+            self._by_gateway[session.gateway].kick()
+        wake_at = self.core.next_wake()
+        if wake_at is not None:
             if self._wake_call is not None and self._wake_call.active():
                 self._wake_call.cancel()
             self._wake_call = self.clock.callLater(
-                max(0.0, wake / TENTHS_PER_SECOND - self.clock.seconds()) + 1e-4, self.handle_events
+                max(0.0, wake_at / TENTHS_PER_SECOND - self.clock.seconds()) + 1e-4, self.handle_events
             )
 
     def _run_period(self) -> None:
@@ -273,7 +272,7 @@
             self.memory.store_guard(self.core.table_guard)
 
     def step_down(self) -> None:
-        """Stops sending, as a newer process with this manager's name has taken over its gateways."""
+        """Stops this process, as a later one with the same manager name has taken over."""
         if not self._stopped:
             self.record_error("replaced by a later process of the same name: this one stops")
             self.stop()
@@ -299,7 +298,7 @@
         )
 
     def _dns_events(self) -> list[Event]:
-        """Returns the traffic of DNS clients. An error there must not stop the control loop."""
+        """Returns the traffic of DNS clients as events. An error there must not stop the control loop."""
         if self.dns is None:
             return []
         try:
@@ -309,7 +308,7 @@
             return []
 
     def _load_hints(self) -> dict[str, float]:
-        """Weighs servers' load reports against measured latency. Empty if no server reports."""
+        """Returns the hints of servers' load reports, checked against latency; empty if no server reports."""
         now = clock_tenths(self.clock)
         if not self.desk.senders:
             return {}
@@ -319,18 +318,22 @@
         latency = {name: sums[3] / sums[2] / mean for name, sums in totals.items() if sums[2] >= 5 and mean}
         return self.desk.update_hints(latency, now)
 
-    def _register_reporters(self) -> None:
+    def _update_report_senders(self) -> None:
         """Updates the permitted senders of load reports from the list and the configuration."""
-        sites = {site.name: site for site in self.config.collectors if site.reports_from or site.agent}
+        collectors = {
+            collector.name: collector
+            for collector in self.config.collectors
+            if collector.reports_from or collector.agent
+        }
         for name in [name for name in self.desk.senders if name not in self.roster.listed]:
             self.desk.forget(name)
-        for name, site in sites.items():
+        for name, collector in collectors.items():
             if name in self.roster.listed:
-                self.desk.register(name, site.reports_from or f"agent of {name}", site.token)
-        for lane in self.lanes:
-            lane.listed()
+                self.desk.register(name, collector.reports_from or f"agent of {name}", collector.token)
+        for receiver in self.lanes:
+            receiver.listed()
 
-    def _probe(self, server: Server) -> None:
+    def _start_probe(self, server: Server) -> None:
         listed = self.roster.listed.get(server.name)
         # One probe of a server at a time: an answer slower than a period still counts when it arrives.
         if (
@@ -361,16 +364,16 @@
                 version=event.version,
                 servers=[f"{entry.worker.name}={entry.availability.name}" for entry in event.entries][:20],
             )
-            self._register_reporters()
+            self._update_report_senders()
             if self.dns is not None:
                 self.dns.listing()
             self.handle_events(event)
             if self.memory is not None:
                 self.memory.store_list(self.roster, clock_tenths(self.clock))
 
-    def log_event(self, event: str, **more: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         """Logs the effect of an operator's command."""
-        self._log.info(event, **more)
+        self._log.info(event, **fields)
 
     # Errors.
 
--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -53,7 +53,7 @@
         self.log, self.writer, self._clock, self._wall = log, writer, clock, wall
         self.opened = log.opened
         self._records = dict(log.state)
-        self.notebook = ServerRecords(self._records)
+        self.server_records = ServerRecords(self._records)
         now = self.now()
         commands = [(name, memory) for name, memory in self._records_of(Kind.COMMAND, CommandMemory)]
         self.journal = Journal(commands, now)
@@ -98,9 +98,9 @@
         """Returns the learned state for the decision module. now: the manager's clock, in tenths of a ms."""
         wall = self.now()
         listed_servers = self._listed_servers(roster, now)
-        self.record_counts = self.notebook.count_by_validity(listed_servers, wall)
+        self.record_counts = self.server_records.count_by_validity(listed_servers, wall)
         workers = list[LearnedWorker[Any]]()
-        for known in self.notebook.recall(listed_servers, wall):
+        for known in self.server_records.recall(listed_servers, wall):
             out_until = now + PER_MS * (known.out_until - wall) if known.out_until else 0
             workers.append(
                 LearnedWorker(
@@ -127,21 +127,21 @@
         A wave that was under way is taken back.
         """
         wall = self.now()
-        versions, stands = list[Version](), 0
+        versions, current = list[Version](), 0
         for _, memory in self._records_of(Kind.VERSION, VersionMemory):
             at = now - PER_MS * max(0, wall - memory.at)
-            factors = {(one.product, one.server): one.factor for one in memory.factors}
+            factors = {(line.product, line.server): line.factor for line in memory.factors}
             state = "taken back: the manager was started anew" if memory.waving else memory.state
             versions.append(Version(memory.number, memory.parent, memory.who, memory.why, at, factors, state))
             if memory.stands:
-                stands = memory.parent if memory.waving else memory.number
+                current = memory.parent if memory.waving else memory.number
         refused = [
             RefusedChange(now - PER_MS * max(0, wall - memory.at), memory.who, memory.what)
             for _, memory in sorted(
                 self._records_of(Kind.REFUSED, RefusedMemory), key=lambda pair: pair[1].at
             )
         ]
-        table_guard.history.restore(versions, stands, refused)
+        table_guard.history.restore(versions, current, refused)
         self._stored_refusals = table_guard.history.refusal_count
 
     def restore_trust(self, desk: ReportProcessor) -> None:
@@ -164,11 +164,11 @@
         """Records the list if it has changed, and the cold starts of servers that were started again."""
         if roster.version != self._stored_list_version:
             self._stored_list_version = roster.version
-            for name, one in roster.listed.items():
-                before = self._server_starts.get(name, one.started_at)
-                self._server_starts[name] = one.started_at
-                if one.started_at != before and (
-                    payload := self.notebook.record_cold_start(name, self.now())
+            for name, listed in roster.listed.items():
+                previous = self._server_starts.get(name, listed.started_at)
+                self._server_starts[name] = listed.started_at
+                if listed.started_at != previous and (
+                    payload := self.server_records.record_cold_start(name, self.now())
                 ):
                     self.writer.put(Kind.SERVER, name, payload)
             for name in self._server_starts.keys() - roster.listed.keys():
@@ -206,20 +206,20 @@
         wall = self.now()
         servers = [
             ServerKnowledge(
-                one.worker.name,
-                one.worker.zone,
-                one.worker.model,
-                one.speed,
-                one.factor,
-                one.report_count,
-                one.exclusion_time // PER_MS,
-                wall + (one.excluded_until - now) // PER_MS if one.excluded_until else 0,
+                entry.worker.name,
+                entry.worker.zone,
+                entry.worker.model,
+                entry.speed,
+                entry.factor,
+                entry.report_count,
+                entry.exclusion_time // PER_MS,
+                wall + (entry.excluded_until - now) // PER_MS if entry.excluded_until else 0,
             )
-            for one in learned.workers
+            for entry in learned.workers
         ]
-        for name, payload in self.notebook.update(servers, wall):
+        for name, payload in self.server_records.update(servers, wall):
             self.writer.put(Kind.SERVER, name, payload)
-        for name in self.notebook.forget(set(self.notebook.names()) - roster.listed.keys()):
+        for name in self.server_records.forget(set(self.server_records.names()) - roster.listed.keys()):
             self.writer.put(Kind.SERVER, name, None)
         self._period_count += 1
         if self._period_count % DEMAND_RECORD_PERIODS == 0 and learned.calm_latency:
@@ -234,8 +234,8 @@
     def _store_trust(self, desk: ReportProcessor, wall: int) -> None:
         found = desk.hints.trust_sums()
         for name, sums in found.items():
-            before = self._stored_trust.get(name)
-            if before is None or max(abs(a - b) for a, b in zip(before, sums, strict=True)) > 0.02:
+            previous = self._stored_trust.get(name)
+            if previous is None or max(abs(a - b) for a, b in zip(previous, sums, strict=True)) > 0.02:
                 self._stored_trust[name] = sums
                 both, told, met, cried = sums
                 self._put(Kind.TRUST, name, TrustMemory(at=wall, both=both, told=told, met=met, cried=cried))
@@ -258,11 +258,11 @@
         wall = self.now()
         return {
             name: ListedServer(
-                one.server.zone,
-                one.server.model,
-                wall - (now - one.started_at) // PER_MS if one.started_at else 0,
+                listed.server.zone,
+                listed.server.model,
+                wall - (now - listed.started_at) // PER_MS if listed.started_at else 0,
             )
-            for name, one in roster.listed.items()
+            for name, listed in roster.listed.items()
         }
 
 
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -39,7 +39,7 @@
 UDP_READ_BUDGET = 16 * 1024  # bytes of datagrams read per turn of the reactor: 1 to 2 ms of queries
 MAX_DNS_QUERY_BYTES = 4096  # eight times the size of a query with all options
 HEALTH_PATH = "/health"  # of a collector
-DIAL_TIMEOUT_SECONDS = 1.0  # for a connection to a gateway's socket
+DIAL_TIMEOUT_SECONDS = 1.0  # for connecting to a gateway or an agent, and for the agent's answer
 
 
 def client_endpoint(address: Address) -> Any:
@@ -64,9 +64,9 @@
         Path(address.path).unlink()
 
 
-def dial(site: GatewayConfig, client: RuntimeClient) -> Deferred[Any]:
+def dial(gateway: GatewayConfig, client: RuntimeClient) -> Deferred[Any]:
     """Connects a client to a gateway's runtime socket."""
-    connected: Deferred[Any] = endpoints.connectProtocol(client_endpoint(site.address), client)
+    connected: Deferred[Any] = endpoints.connectProtocol(client_endpoint(gateway.address), client)
     return connected
 
 
@@ -167,8 +167,8 @@
             )
             port.maxThroughput = UDP_READ_BUDGET
             await server_endpoint(address).listen(DnsStreams(front, reactor))
-        for kind, address in self._config.report_listeners:
-            if kind == "udp":
+        for transport, address in self._config.report_listeners:
+            if transport == "udp":
                 receiver = ReceiverSupervisor(
                     self.manager.desk, bind_report_socket(address), self.manager.record_error
                 )
@@ -176,9 +176,9 @@
                 self.manager.lanes.append(receiver)
             else:
                 await server_endpoint(address).listen(ReportStreams(self.manager.desk, reactor))
-        for site in self._config.collectors:
-            if site.agent is not None:
-                self._check_agent(site.name, site.agent)
+        for collector in self._config.collectors:
+            if collector.agent is not None:
+                self._check_agent(collector.name, collector.agent)
         reactor.addSystemEventTrigger("before", "shutdown", self.stop)
         self.manager.start()
         self._save_list()
