--- a/rushladder/cli/main.py
+++ b/rushladder/cli/main.py
@@ -18,7 +18,7 @@
 from rushladder.conf.objects import ManagerConfig
 from rushladder.conf.reader import parse_config
 from rushladder.runtime.client import send_commands
-from rushladder.runtime.grammar import AnswerTooLong, Command, split_commands, parse_table
+from rushladder.runtime.grammar import AnswerTooLong, Command, parse_table, split_commands
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -123,7 +123,8 @@
 def trial(file: str, report: str | None, keep: str | None, memory: str | None, compare: bool) -> None:
     """Runs the day in FILE with real managers and stand-ins on loopback, and evaluates it. Exits with 1 if a
     rule was broken."""
-    from rushladder.trials import day as days, judge, play
+    from rushladder.trials import day as days
+    from rushladder.trials import judge, play
 
     if report:
         draw = load_chart_drawer()  # first, so that a missing package is reported before the day runs
--- a/rushladder/cli/store.py
+++ b/rushladder/cli/store.py
@@ -9,7 +9,7 @@
 import click
 
 from rushladder.store.files import Disk, FolderLocked
-from rushladder.store.log import Log, IncompatibleStore, FileState, read_header, file_number, read_file
+from rushladder.store.log import FileState, IncompatibleStore, Log, file_number, read_file, read_header
 from rushladder.store.memory import MINORS, Kind
 
 DIRECTORY = click.argument("directory", type=click.Path(exists=True, file_okay=False))
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -12,23 +12,23 @@
     Address,
     Diagnostic,
     InvalidConfig,
-    Line,
     InvalidValue,
+    Line,
     address,
     domain,
     duration,
     host,
     inet,
+    integer,
     name,
     name_server,
+    network,
+    non_empty,
     number,
     one_of,
     percentage,
-    network,
     read_lines,
-    non_empty,
     token,
-    integer,
 )
 from rushladder.conf.objects import (
     CollectorConfig,
@@ -38,8 +38,8 @@
     Identity,
     Listener,
     LogSettings,
-    PeerConfig,
     ManagerConfig,
+    PeerConfig,
 )
 from rushladder.interface import Channel, Guarantee, Idempotency, LevelUnit, Product
 from rushladder.runtime.endpoint import Level
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -17,13 +17,13 @@
 from rushladder.guard.history import Version
 from rushladder.guard.table_guard import Denied
 from rushladder.interface import Availability
-from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandRefused, CommandSpec, CommandTable, Level
 from rushladder.runtime.grammar import Command, format_csv
 from rushladder.service.manager import Manager
 from rushladder.store.commands import (
+    DURABLE_TIMEOUT,
     MAX_COMMAND_LENGTH,
     MAX_ID_LENGTH,
-    DURABLE_TIMEOUT,
     Effect,
     is_idempotent,
 )
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -14,10 +14,10 @@
 
 from rushladder.conf.objects import GatewayConfig, ManagerConfig
 from rushladder.core.host import Core
-from rushladder.core.traffic import TrafficSums
 from rushladder.core.roster import Roster
+from rushladder.core.traffic import TrafficSums
 from rushladder.dnsfront.front import Front
-from rushladder.gateways.driver import GatewayDriver, Log, DriverTimes
+from rushladder.gateways.driver import DriverTimes, GatewayDriver, Log
 from rushladder.gateways.election import HolderElection, HolderState, lease_and_settle_times
 from rushladder.guard.waves import Effect
 from rushladder.intake.processor import ReportProcessor
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from twisted.internet import endpoints, reactor as _reactor, threads
+from twisted.internet import endpoints, threads
+from twisted.internet import reactor as _reactor
 from twisted.internet.defer import Deferred
 
 from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS
@@ -16,18 +17,18 @@
 from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
 from rushladder.dnsfront.ports import Streams as DnsStreams
 from rushladder.intake.agent import AgentStatus
-from rushladder.intake.receiver import ReceiverSupervisor, bind_report_socket
 from rushladder.intake.ports import AgentCheck, ReportStreams
+from rushladder.intake.receiver import ReceiverSupervisor, bind_report_socket
 from rushladder.interface import Availability
 from rushladder.peers.link import PeerLink
 from rushladder.runtime.endpoint import RuntimeClient, RuntimeFactory
 from rushladder.service.api import command_table
-from rushladder.service.probing import HealthProber
 from rushladder.service.logs import make_log
 from rushladder.service.manager import Manager
 from rushladder.service.persistence import Persistence
+from rushladder.service.probing import HealthProber
 from rushladder.store.files import Disk, FolderLocked
-from rushladder.store.log import Log, IncompatibleStore
+from rushladder.store.log import IncompatibleStore, Log
 from rushladder.store.memory import MINORS, fleet_id
 from rushladder.store.writer import Writer
 from rushladder.timing import clock_tenths
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -10,14 +10,14 @@
 from twisted.internet.testing import StringTransport
 
 from rushladder.runtime.endpoint import (
-    Level,
     CommandRefused,
+    CommandSpec,
+    CommandTable,
+    Level,
+    NoAnswer,
     RuntimeClient,
     RuntimeFactory,
     RuntimeServer,
-    NoAnswer,
-    CommandSpec,
-    CommandTable,
 )
 from rushladder.runtime.grammar import (
     AnswerParser,
@@ -26,11 +26,11 @@
     CommandParser,
     Overlong,
     Request,
+    encode_commands,
     format_csv,
     parse_fields,
-    split_commands,
     parse_table,
-    encode_commands,
+    split_commands,
 )
 
 words = st.text(st.characters(codec="utf-8", exclude_characters="\r\n"), min_size=1, max_size=12)
