--- a/rushladder/conf/grammar.py
+++ b/rushladder/conf/grammar.py
@@ -94,7 +94,9 @@
         if len(raw) > MAX_LINE_LENGTH:
             errors.append(
                 Diagnostic(
-                    file, line_number, f"the line has {len(raw)} characters; {MAX_LINE_LENGTH} are allowed"
+                    file,
+                    line_number,
+                    f"the line has {len(raw)} characters; at most {MAX_LINE_LENGTH} are allowed",
                 )
             )
             continue
--- a/rushladder/conf/objects.py
+++ b/rushladder/conf/objects.py
@@ -99,13 +99,13 @@
 class HoldingTimes:
     """Durations for holding a gateway, in tenths of a millisecond.
 
-    poll: between two reads of a gateway's state; takeover: how long a holder must be silent before another
-    manager claims the gateway; patience: the timeout of one answer of a gateway.
+    poll_interval: between two reads of a gateway's state; takeover_timeout: how long a holder must be silent
+    before another manager claims the gateway; answer_timeout: for one answer of a gateway.
     """
 
-    poll: int = POLL_INTERVAL
-    takeover: int = TAKEOVER_TIMEOUT
-    patience: int = ANSWER_TIMEOUT
+    poll_interval: int = POLL_INTERVAL
+    takeover_timeout: int = TAKEOVER_TIMEOUT
+    answer_timeout: int = ANSWER_TIMEOUT
 
 
 @attrs.frozen
--- a/rushladder/conf/reader.py
+++ b/rushladder/conf/reader.py
@@ -196,13 +196,16 @@
         self.lines = dict[str, int]()
 
     def value(self, directive: str, default: Any = None) -> Any:
+        """The first value of a directive; True for one without arguments."""
         values = self.values.get(directive)
         return values[0] if values else default
 
     def option(self, directive: str, option: str, default: Any = None) -> Any:
+        """The value of an option of a directive."""
         return self.options.get(directive, {}).get(option, default)
 
     def line_of(self, directive: str) -> int:
+        """The line of a directive, or of the section if it lacks the directive."""
         return self.lines.get(directive, self.line)
 
 
@@ -447,7 +450,7 @@
         for s in sections_of("listen")
         if not s.value("peers") and not s.value("reports")
     ]
-    holding = HoldingTimes()
+    default_times = HoldingTimes()
     regions = {s.name: tuple(s.values.get("clients", ())) for s in sections_of("region")}
     return ManagerConfig(
         log=LogSettings(global_section.value("log", "json"), global_section.option("log", "level", "info")),
@@ -494,9 +497,9 @@
         level_unit=manager.value("levels", LevelUnit.RATIO),
         may_probe=manager.value("probes", True),
         holding=HoldingTimes(
-            manager.value("poll", holding.poll),
-            manager.value("takeover", holding.takeover),
-            manager.value("patience", holding.patience),
+            manager.value("poll", default_times.poll_interval),
+            manager.value("takeover", default_times.takeover_timeout),
+            manager.value("patience", default_times.answer_timeout),
         ),
         list_file=manager.value("list-file", ""),
         trust_reports=manager.value("reports-trust", False),
--- a/rushladder/runtime/endpoint.py
+++ b/rushladder/runtime/endpoint.py
@@ -61,7 +61,7 @@
 
 
 class CommandTable:
-    """The commands of an API. Finds one by its leading words; the longest match wins."""
+    """The commands of an API, found by their leading words. The longest match wins."""
 
     def __init__(self, commands: Sequence[CommandSpec]) -> None:
         self.all = list(commands)
@@ -69,12 +69,14 @@
         self._max_words = max((len(spec.words) for spec in commands), default=0)
 
     def find(self, words: tuple[str, ...]) -> CommandSpec | None:
+        """Returns the command whose words start the given ones, or None."""
         for count in range(min(self._max_words, len(words)), 0, -1):
             if spec := self._by_words.get(words[:count]):
                 return spec
         return None
 
     def help(self, level: Level) -> str:
+        """Returns the help lines of the commands that a level may use."""
         return "".join(f"  {spec.usage}\n" for spec in self.all if spec.level <= level)
 
 
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -142,7 +142,7 @@
             gateways=[(gateway.name, gateway.region, gateway.usual_rate) for gateway in config.gateways],
         )
         times = config.holding
-        lease, settle = lease_and_settle_times(times.poll)
+        lease, settle = lease_and_settle_times(times.poll_interval)
         self.drivers = [
             GatewayDriver(
                 clock,
@@ -155,12 +155,14 @@
                     config.identity.region,
                     # Without peers, every gateway counts as one of the manager's own region.
                     gateway.region if config.peers else config.identity.region,
-                    takeover=times.takeover,
+                    takeover=times.takeover_timeout,
                     settle=settle,
                     lease=lease,
                     highest_epoch=memory.restore_epoch(gateway.name) if memory is not None else 0,
                 ),
-                DriverTimes(times.poll / TENTHS_PER_SECOND, times.patience / TENTHS_PER_SECOND),
+                DriverTimes(
+                    times.poll_interval / TENTHS_PER_SECOND, times.answer_timeout / TENTHS_PER_SECOND
+                ),
                 self._random.random,
                 log,
                 self.handle_events,
