--- a/rushladder/conf/objects.py
+++ b/rushladder/conf/objects.py
@@ -71,8 +71,8 @@
     """The DNS zone that this manager serves.
 
     hosts: names and addresses of its name servers; min_servers: servers in an answer, at least; usual_rate:
-    txns per second of DNS clients; split_by_load: the split follows load, not the number of answers; clients:
-    the network prefixes of each region's clients.
+    txns per second of DNS clients; split_by_load: resolvers count by their estimated traffic, otherwise all
+    count the same; clients: the network prefixes of each region's clients.
     """
 
     apex: str
