--- a/rushladder/conf/grammar.py
+++ b/rushladder/conf/grammar.py
@@ -54,7 +54,7 @@
 def tokenize(text: str) -> tuple[str, ...]:
     """Splits a line into words and drops its comment. Raises InvalidValue for an unclosed quote.
 
-    >>> words('path "/tmp/a b" # where')
+    >>> tokenize('path "/tmp/a b" # where')
     ('path', '/tmp/a b')
     """
     found, word, in_word, quoted, position = list[str](), list[str](), False, False, 0
--- a/rushladder/runtime/grammar.py
+++ b/rushladder/runtime/grammar.py
@@ -66,7 +66,7 @@
 def split_commands(text: str) -> tuple[tuple[str, ...], ...]:
     """Splits a line into commands, each as its words. Empty commands are left out.
 
-    >>> split(r"set var proc.a str(x\\ y);show info")
+    >>> split_commands(r"set var proc.a str(x\\ y);show info")
     (('set', 'var', 'proc.a', 'str(x y)'), ('show', 'info'))
     """
     commands: list[tuple[str, ...]] = []
