--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -22,9 +22,9 @@
 
 from benchmarks.fleet import Quiet, plan
 from rushladder.conf.reader import parse_config
-from rushladder.dnsfront.answers import Asked, Chosen
-from rushladder.dnsfront.front import Front
-from rushladder.dnsfront.ports import Datagrams
+from rushladder.dnsfront.answer_builder import PoolQuery, Selection
+from rushladder.dnsfront.responder import DnsResponder
+from rushladder.dnsfront.transports import DnsDatagramProtocol
 from rushladder.interface import Availability
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
@@ -80,15 +80,15 @@
     )
 
 
-def plain(front: Front) -> Callable[[Asked, bool], Chosen | None]:
+def plain(front: DnsResponder) -> Callable[[PoolQuery, bool], Selection | None]:
     """One list, by chance, for everyone."""
     draw = Random(1).random
 
-    def choose(asked: Asked, weighed: bool) -> Chosen | None:
+    def choose(asked: PoolQuery, weighed: bool) -> Selection | None:
         pool = front.pools[asked.product, asked.region]
         chances = LinearChoice({name: target.weight for name, target in pool.targets.items()})
         names = dict.fromkeys(chances.draw(draw()) for _ in range(2))
-        return Chosen([pool.targets[name] for name in names], 2)
+        return Selection([pool.targets[name] for name in names], 2)
 
     return choose
 
@@ -118,11 +118,11 @@
     front = manager.dns
     assert front is not None
     if simple:
-        front._answers._choose = plain(front)
-    port = reactor.listenUDP(0, Datagrams(front), interface="127.0.0.1")
+        front._answer_builder._choose = plain(front)
+    port = reactor.listenUDP(0, DnsDatagramProtocol(front), interface="127.0.0.1")
     port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_000_000)
     marks, process, replans, held = list[float](), list[subprocess.Popen[str]](), list[float](), list[int]()
-    front.limits.take = lambda *_: next(iter(front.limits.counts))  # type: ignore[method-assign]
+    front.rate_limiter.take = lambda *_: next(iter(front.rate_limiter.counts))  # type: ignore[method-assign]
 
     def mark() -> None:
         marks.append(time.process_time())
@@ -140,7 +140,7 @@
             state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
             manager.roster.change("c5", clock_tenths(reactor), availability=state)
             began = time.process_time_ns()
-            front.listing()
+            front.list_changed()
             replans.append((time.process_time_ns() - began) / 1e6)
 
     reactor.callWhenRunning(manager.start)
--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -15,9 +15,9 @@
 import atheris  # type: ignore[import-not-found,import-untyped,unused-ignore]
 
 with atheris.instrument_imports(include=["rushladder.dnsfront", "twisted.names"]):
-    from rushladder.dnsfront import wire
+    from rushladder.dnsfront import codec
 
-from rushladder.dnsfront.records import MOST
+from rushladder.dnsfront.messages import MAX_UDP_SIZE
 from tests.test_dns import DnsFuzz
 
 NAMES = (b"\4_ask\4_tcp\3svc\7example\0", b"\3ask\3svc\7example\0", b"\3svc\7example\0")
@@ -42,14 +42,14 @@
     front = DnsFuzz.front()
     for tcp in (False, True):
         answer = front.answer(data, "192.0.2.1", tcp)
-        if answer and (len(answer) > MOST or not answer[2] & 0x80 or answer[:2] != data[:2]):
+        if answer and (len(answer) > MAX_UDP_SIZE or not answer[2] & 0x80 or answer[:2] != data[:2]):
             raise AssertionError(f"{data!r} was answered {answer!r}")
     try:
-        wire.read(data)
-    except wire.Unreadable as unreadable:
+        codec.parse_query(data)
+    except codec.MalformedMessage as unreadable:
         if len(unreadable.reply) > 12:
             raise AssertionError(f"{data!r}: a refusal longer than a header") from None
-    if len(front.limits) > 8 or sum(len(pool.askers.all()) for pool in front.pools.values()) > 8:
+    if len(front.rate_limiter) > 8 or sum(len(pool.resolvers.all()) for pool in front.pools.values()) > 8:
         raise AssertionError("state grew with packets of one sender")
 
 
--- a/rushladder/dnsfront/answers.py
+++ b/rushladder/dnsfront/answer_builder.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rushladder.dnsfront.records import ANY_CLASS, IN, Answer, Question, Rcode, Record, Subnet, Type
+from rushladder.dnsfront.messages import ANY_CLASS, IN, Answer, Question, Rcode, Record, Subnet, Type
 from rushladder.dnsfront.zone import SERVERS, Kind, Place, Zone
 
 HOST_TTL = 1  # s, of a server's own name: as short as an answer with a cold one
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Chosen:
+class Selection:
     """What was chosen for one asker: servers, and for how long."""
 
     targets: Sequence[Target]
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class Asked:
+class PoolQuery:
     """A question that reached a pool: which one, and the bits of the client's subnet that told."""
 
     product: str
@@ -76,7 +76,7 @@
     return name.lower() if LABEL.fullmatch(name) else ""
 
 
-class Answers:
+class AnswerBuilder:
     """Answers to the questions of one zone. `choose` is asked for a pool's servers (and whether the answer
     tells their weights), `tells` for its TXT."""
 
@@ -85,7 +85,7 @@
         zone: Zone,
         regions: Regions,
         mailbox: str,
-        choose: Callable[[Asked, bool], Chosen | None],
+        choose: Callable[[PoolQuery, bool], Selection | None],
         tells: Callable[[str, str], Sequence[str]],
         addresses: Mapping[str, str],
         serial: Callable[[], int],
@@ -120,21 +120,23 @@
                 region, scope = self._regions.of_subnet(subnet)
             else:
                 region = self._regions.of(source)
-        build = PLACES.get((place.kind, question.type)) or PLACES.get((place.kind, None), Answers._nothing)
-        return build(self, question, place, Asked(place.product, region, scope))
+        build = PLACES.get((place.kind, question.type)) or PLACES.get(
+            (place.kind, None), AnswerBuilder._nothing
+        )
+        return build(self, question, place, PoolQuery(place.product, region, scope))
 
     # What the table names.
 
-    def _outside(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _outside(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         return Answer(Rcode.REFUSED, authoritative=False, scope=asked.scope)
 
-    def _nxdomain(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _nxdomain(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         return Answer(Rcode.NXDOMAIN, authority=(self.soa(self._negative()),), scope=asked.scope)
 
-    def _nothing(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _nothing(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         return Answer(Rcode.NOERROR, authority=(self.soa(self._negative()),), scope=asked.scope)
 
-    def _any(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _any(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         """RFC 8482: one record that says that not all are given."""
         return Answer(
             Rcode.NOERROR,
@@ -142,23 +144,23 @@
             scope=asked.scope,
         )
 
-    def _apex_soa(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _apex_soa(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         return Answer(Rcode.NOERROR, (self.soa(FIXED_TTL),), scope=asked.scope)
 
-    def _apex_ns(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _apex_ns(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         names = tuple(Record(question.name, Type.NS, FIXED_TTL, (host,)) for host in self._zone.hosts)
         glue = tuple(record for host in self._zone.hosts for record in self._glue(host))
         return Answer(Rcode.NOERROR, names, additional=glue, scope=asked.scope)
 
-    def _host(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _host(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         found = tuple(one for one in self._glue(place.host) if one.type == question.type)
         return Answer(Rcode.NOERROR, found) if found else self._nothing(question, place, asked)
 
-    def _server(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _server(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         found = _addresses(question.name, [self._addresses[place.host]], question.type, HOST_TTL)
         return Answer(Rcode.NOERROR, found) if found else self._nothing(question, place, asked)
 
-    def _pool(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _pool(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         chosen = self._choose(asked, False)
         if chosen is None:  # no plan, or nobody open: a resolver asks another name server then
             return Answer(Rcode.SERVFAIL, authoritative=False, scope=asked.scope)
@@ -168,7 +170,7 @@
             return self._nothing(question, place, asked)
         return Answer(Rcode.NOERROR, found, scope=asked.scope)
 
-    def _service(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _service(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         chosen = self._choose(asked, True)
         if chosen is None:
             return Answer(Rcode.SERVFAIL, authoritative=False, scope=asked.scope)
@@ -185,7 +187,7 @@
                 more += _addresses(host, [target.address], kind, min(HOST_TTL, chosen.ttl))
         return Answer(Rcode.NOERROR, tuple(records), additional=tuple(more), scope=asked.scope)
 
-    def _text(self, question: Question, place: Place, asked: Asked) -> Answer:
+    def _text(self, question: Question, place: Place, asked: PoolQuery) -> Answer:
         strings = self._tells(asked.product, asked.region)
         if not strings:
             return Answer(Rcode.SERVFAIL, authoritative=False, scope=asked.scope)
@@ -217,25 +219,25 @@
     )
 
 
-Build = Callable[[Answers, Question, Place, Asked], Answer]
+Build = Callable[[AnswerBuilder, Question, Place, PoolQuery], Answer]
 # What the name is, and the type asked (None: any other) -> what builds the answer.
 PLACES: dict[tuple[Kind, int | None], Build] = {
-    (Kind.OUTSIDE, None): Answers._outside,
-    (Kind.NOTHING, None): Answers._nxdomain,
-    (Kind.EMPTY, None): Answers._nothing,
-    (Kind.APEX, Type.SOA): Answers._apex_soa,
-    (Kind.APEX, Type.NS): Answers._apex_ns,
-    (Kind.HOST, Type.A): Answers._host,
-    (Kind.HOST, Type.AAAA): Answers._host,
-    (Kind.SERVER, Type.A): Answers._server,
-    (Kind.SERVER, Type.AAAA): Answers._server,
-    (Kind.POOL, Type.A): Answers._pool,
-    (Kind.POOL, Type.AAAA): Answers._pool,
-    (Kind.POOL, Type.TXT): Answers._text,
-    (Kind.SERVICE, Type.SRV): Answers._service,
-    (Kind.SERVICE, Type.TXT): Answers._text,
+    (Kind.OUTSIDE, None): AnswerBuilder._outside,
+    (Kind.NOTHING, None): AnswerBuilder._nxdomain,
+    (Kind.EMPTY, None): AnswerBuilder._nothing,
+    (Kind.APEX, Type.SOA): AnswerBuilder._apex_soa,
+    (Kind.APEX, Type.NS): AnswerBuilder._apex_ns,
+    (Kind.HOST, Type.A): AnswerBuilder._host,
+    (Kind.HOST, Type.AAAA): AnswerBuilder._host,
+    (Kind.SERVER, Type.A): AnswerBuilder._server,
+    (Kind.SERVER, Type.AAAA): AnswerBuilder._server,
+    (Kind.POOL, Type.A): AnswerBuilder._pool,
+    (Kind.POOL, Type.AAAA): AnswerBuilder._pool,
+    (Kind.POOL, Type.TXT): AnswerBuilder._text,
+    (Kind.SERVICE, Type.SRV): AnswerBuilder._service,
+    (Kind.SERVICE, Type.TXT): AnswerBuilder._text,
     **{
-        (kind, Type.ANY): Answers._any
+        (kind, Type.ANY): AnswerBuilder._any
         for kind in Kind
         if kind not in (Kind.OUTSIDE, Kind.NOTHING, Kind.EMPTY)
     },
--- a/rushladder/dnsfront/wire.py
+++ b/rushladder/dnsfront/codec.py
@@ -10,7 +10,17 @@
 
 from twisted.names import dns
 
-from rushladder.dnsfront.records import MOST, PLAIN, Answer, Edns, Question, Rcode, Record, Subnet, Type
+from rushladder.dnsfront.messages import (
+    MAX_UDP_SIZE,
+    DEFAULT_UDP_SIZE,
+    Answer,
+    Edns,
+    Question,
+    Rcode,
+    Record,
+    Subnet,
+    Type,
+)
 
 SUBNET, COOKIE = 8, 10
 LONGEST = 65_535
@@ -18,7 +28,7 @@
 BAD = (EOFError, ValueError, KeyError, IndexError, struct.error, UnicodeError, TypeError, OverflowError)
 
 
-class Unreadable(Exception):
+class MalformedMessage(Exception):
     """A message that can't be read; `reply` is what to send back, or empty."""
 
     def __init__(self, reply: bytes) -> None:
@@ -26,10 +36,10 @@
         self.reply = reply
 
 
-def read(data: bytes) -> Question:
-    """The question of a message. Raises Unreadable."""
+def parse_query(data: bytes) -> Question:
+    """The question of a message. Raises MalformedMessage."""
     if len(data) < HEADER or data[2] & 0x80:
-        raise Unreadable(b"")  # no header, or an answer: answering those could go round for ever
+        raise MalformedMessage(b"")  # no header, or an answer: answering those could go round for ever
     message: Any = dns.Message()
     try:
         if data[4:6] != b"\0\0":
@@ -58,7 +68,7 @@
         )
     except BAD:
         opcode, number = (data[2] >> 3) & 15, data[:2]
-        raise Unreadable(number + bytes([0x80 | opcode << 3, Rcode.FORMERR]) + bytes(8)) from None
+        raise MalformedMessage(number + bytes([0x80 | opcode << 3, Rcode.FORMERR]) + bytes(8)) from None
 
 
 def _check_name(data: bytes) -> None:
@@ -92,7 +102,7 @@
             subnet = _read_subnet(value)
             faulty = faulty or subnet is None
     faulty = faulty or place != len(data)
-    return Edns(max(PLAIN, size), version, cookie, returned, subnet, faulty)
+    return Edns(max(DEFAULT_UDP_SIZE, size), version, cookie, returned, subnet, faulty)
 
 
 def _read_subnet(value: bytes) -> Subnet | None:
@@ -108,10 +118,10 @@
     return Subnet(family, length, address)
 
 
-def write(question: Question, answer: Answer, tcp: bool) -> bytes:
+def encode_answer(question: Question, answer: Answer, tcp: bool) -> bytes:
     """The answer's bytes; where they do not fit a datagram, it is empty and says that it is truncated."""
     edns = question.edns
-    most = LONGEST if tcp else min(MOST, edns.size if edns is not None else PLAIN)
+    most = LONGEST if tcp else min(MAX_UDP_SIZE, edns.size if edns is not None else DEFAULT_UDP_SIZE)
     data = b"" if answer.truncated else _write(question, answer, False)
     if answer.truncated or len(data) > most:
         data = _write(question, Answer(answer.rcode, scope=answer.scope, cookie=answer.cookie), True)
@@ -176,5 +186,5 @@
         )
         options += subnet.address
     payload: Any = dns.UnknownRecord(options)
-    header: Any = dns.RRHeader(b"", Type.OPT, MOST, (answer.rcode >> 4) << 24, payload)
+    header: Any = dns.RRHeader(b"", Type.OPT, MAX_UDP_SIZE, (answer.rcode >> 4) << 24, payload)
     return header
--- a/rushladder/dnsfront/records.py
+++ b/rushladder/dnsfront/messages.py
@@ -37,8 +37,8 @@
 
 
 IN, ANY_CLASS = 1, 255
-PLAIN = 512  # bytes of a UDP answer to one who says nothing else
-MOST = 1232  # bytes of any UDP answer: what passes networks unfragmented
+DEFAULT_UDP_SIZE = 512  # bytes of a UDP answer to one who says nothing else
+MAX_UDP_SIZE = 1232  # bytes of any UDP answer: what passes networks unfragmented
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
     """What the asker's OPT record says. cookie: the client's 8 bytes; returned: the server cookie it gave
     back."""
 
-    size: int = PLAIN
+    size: int = DEFAULT_UDP_SIZE
     version: int = 0
     cookie: bytes = b""
     returned: bytes = b""
--- a/rushladder/dnsfront/limits.py
+++ b/rushladder/dnsfront/rate_limit.py
@@ -38,7 +38,7 @@
     slips: int = 0
 
 
-class Limiter:
+class RateLimiter:
     """One table for all. Newcomers that find it full of live buckets share one bucket among them."""
 
     def __init__(self, most: int = MOST) -> None:
--- a/rushladder/dnsfront/askers.py
+++ b/rushladder/dnsfront/resolver_demand.py
@@ -31,15 +31,15 @@
 
 
 @attrs.define(eq=False)
-class Asker:
+class Resolver:
     """One resolver's dealings with one pool. Times: tenths of a millisecond; rate: txns a second."""
 
     source: str
     proven: bool = False  # its address is its own: it returned a cookie, or came by TCP
-    asked: int = 0
-    last: int = 0
+    queries: int = 0
+    last_query: int = 0
     waits: int = 0
-    wait: float = 0.0
+    mean_wait: float = 0.0
     rate: float = 0.0
     servers: Mapping[str, float] = attrs.field(factory=dict)  # and the part of its txns that each gets
     since: int = 0  # up to when its use of them is counted
@@ -61,54 +61,54 @@
     def waited(self, wait: float) -> None:
         """It asked so long after its answer ran out."""
         self.waits += 1
-        self.wait += max(LEARNS, 1.0 / self.waits) * (max(SHORTEST, wait) - self.wait)
-        told = SECOND / self.wait
+        self.mean_wait += max(LEARNS, 1.0 / self.waits) * (max(SHORTEST, wait) - self.mean_wait)
+        told = SECOND / self.mean_wait
         self.rate = told if self.waits <= FIRM else self.rate * (told / self.rate) ** PULL
 
     def corrected(self, times: float) -> None:
-        told = SECOND / self.wait
+        told = SECOND / self.mean_wait
         self.rate = min(FAR * told, max(told / FAR, self.rate * times**GAIN))
 
 
-class Askers:
+class ResolverTable:
     """Those of one pool, the one heard last at the end. Strangers have a table of their own, so that a flood
     of made-up addresses pushes out nobody who is known."""
 
     def __init__(self, by_load: bool = True, most: int = MOST, ceiling: float = math.inf) -> None:
         """ceiling: txns a second that those who proved nothing are taken to bring together, at the most."""
         self._by_load, self._most, self._ceiling = by_load, most, ceiling
-        self.known, self.strangers = dict[str, Asker](), dict[str, Asker]()
+        self.known, self.strangers = dict[str, Resolver](), dict[str, Resolver]()
         self.demand = 0.0  # txns a second of all, as of the last period
 
-    def heard(self, source: str, now: int, proven: bool) -> Asker:
+    def record_query(self, source: str, now: int, proven: bool) -> Resolver:
         """A question came. A wait counts only if the answer before it had run out."""
-        asker = self.known.pop(source, None) or self.strangers.pop(source, None) or Asker(source)
+        asker = self.known.pop(source, None) or self.strangers.pop(source, None) or Resolver(source)
         if asker.until and asker.until <= now < asker.until + SILENT:
             asker.waited(float(now - asker.until))
-        asker.asked, asker.last, asker.proven = asker.asked + 1, now, asker.proven or proven
+        asker.queries, asker.last_query, asker.proven = asker.queries + 1, now, asker.proven or proven
         table = self.known if asker.known() else self.strangers
         table[source] = asker
         if len(table) > (self._most if asker.known() else self._most // 4):
             del table[next(iter(table))]  # the one that was silent longest
         return asker
 
-    def all(self) -> list[Asker]:
+    def all(self) -> list[Resolver]:
         return [*self.known.values(), *self.strangers.values()]
 
-    def find(self, source: str) -> Asker | None:
+    def find(self, source: str) -> Resolver | None:
         return self.known.get(source) or self.strangers.get(source)
 
-    def gave(self, asker: Asker, servers: Mapping[str, float], ttl: int, now: int) -> None:
+    def record_answer(self, asker: Resolver, servers: Mapping[str, float], ttl: int, now: int) -> None:
         asker.count(now)
         asker.servers, asker.since, asker.until = servers, now, now + ttl * SECOND
 
-    def volume(self, asker: Asker) -> float:
+    def estimated_load(self, asker: Resolver) -> float:
         """The txns a second that it is taken to bring; what a newcomer brings is the middle of the others."""
         if not self._by_load:
             return 1.0
         return asker.rate or (self.demand / max(1, len(self.known)) if self.demand else 1.0)
 
-    def period(self, now: int, span: float = 1.0) -> dict[str, float]:
+    def end_period(self, now: int, span: float = 1.0) -> dict[str, float]:
         """Once a period, of `span` seconds: the txns a second that are expected at each server."""
         expected, proven, others = dict[str, float](), 0.0, 0.0
         for asker in self.all():
@@ -122,9 +122,9 @@
                 else:
                     asker.usual.pop(name, None)
             asker.used.clear()
-            if now - asker.last < SILENT and asker.proven:
+            if now - asker.last_query < SILENT and asker.proven:
                 proven += asker.rate
-            elif now - asker.last < SILENT:
+            elif now - asker.last_query < SILENT:
                 others += asker.rate
         self.demand = proven + min(others, self._ceiling)
         return expected
--- a/rushladder/dnsfront/front.py
+++ b/rushladder/dnsfront/responder.py
@@ -14,14 +14,14 @@
 
 from rushladder.conf.objects import DnsConfig
 from rushladder.core.host import LEVELS_MAP, Core, GatewaySession
-from rushladder.dnsfront import cookies, wire
-from rushladder.dnsfront.answers import Answers, Asked, Chosen, Regions, Target, label
-from rushladder.dnsfront.askers import FADES, Asker, Askers
-from rushladder.dnsfront.lifetimes import Lifetimes
-from rushladder.dnsfront.limits import Kind as Limited
-from rushladder.dnsfront.limits import Limiter, Verdict, prefix
-from rushladder.dnsfront.records import Answer, Question, Rcode
-from rushladder.dnsfront.split import Share, Split
+from rushladder.dnsfront import codec, cookies
+from rushladder.dnsfront.answer_builder import AnswerBuilder, PoolQuery, Selection, Regions, Target, label
+from rushladder.dnsfront.resolver_demand import FADES, Resolver, ResolverTable
+from rushladder.dnsfront.ttl_policy import TtlPolicy
+from rushladder.dnsfront.rate_limit import Kind as Limited
+from rushladder.dnsfront.rate_limit import RateLimiter, Verdict, prefix
+from rushladder.dnsfront.messages import Answer, Question, Rcode
+from rushladder.dnsfront.server_selection import Share, ServerSelector
 from rushladder.dnsfront.zone import Kind, Place, Zone
 from rushladder.gateways.diff import AdminState, GatewayContent, apply_commands
 from rushladder.interface import Arrivals, Availability, Event, Idempotency, Joined, Product
@@ -62,23 +62,25 @@
 
     def __init__(self, product: Product, by_load: bool, usual: float) -> None:
         self.product = product
-        self.split, self.askers = Split(), Askers(by_load, ceiling=UNPROVEN * usual)
+        self.selector, self.resolvers = ServerSelector(), ResolverTable(by_load, ceiling=UNPROVEN * usual)
         self.targets = dict[str, Target]()
-        self.level, self.planned, self.questions = 1000, False, 0
+        self.level, self.planned, self.query_count = 1000, False, 0
         self._part = 0.0
 
     def arrivals(self, seat: Gateway, span: int) -> Arrivals[Gateway]:
         """The txns of a span; what is less than one is kept for the next."""
-        self._part += self.askers.demand * span / SECOND
+        self._part += self.resolvers.demand * span / SECOND
         many = int(self._part)
         self._part -= many
         return Arrivals(seat, self.product, many, 0, span)
 
 
-class Seat:
+class VirtualGateway:
     """One region's place among the core's gateways."""
 
-    def __init__(self, gateway: Gateway, core: Core, clock: Clock, changed: Callable[[Seat], None]) -> None:
+    def __init__(
+        self, gateway: Gateway, core: Core, clock: Clock, changed: Callable[[VirtualGateway], None]
+    ) -> None:
         self.gateway, self._core, self._clock, self._changed = gateway, core, clock, changed
         self.port: GatewaySession | None = None
         self._later: DelayedCall | None = None
@@ -103,7 +105,7 @@
         self._changed(self)
 
 
-class Front:
+class DnsResponder:
     """All of one manager's DNS. `give` hands the core a batch of events."""
 
     def __init__(
@@ -122,10 +124,10 @@
     ) -> None:
         self.site, self._core, self._clock, self._wall, self._give = site, core, clock, wall, give
         now = clock_tenths(clock)
-        self.lifetimes, self.limits = Lifetimes(grace, way, now, draw), Limiter()
+        self.ttl_policy, self.rate_limiter = TtlPolicy(grace, way, now, draw), RateLimiter()
         self.counts, self._serial, self._begun = dict.fromkeys(Fate, 0), int(wall()), now
-        self.seats = [
-            Seat(
+        self.virtual_gateways = [
+            VirtualGateway(
                 Gateway(f"dns.{manager}.{name}", name, site.usual_rate / len(regions)),
                 core,
                 clock,
@@ -137,7 +139,7 @@
             (product.name, seat.gateway.zone): Pool(
                 product, site.split_by_load, seat.gateway.usual_rate / len(core.products)
             )
-            for seat in self.seats
+            for seat in self.virtual_gateways
             for product in core.products
         }
         self._zone = Zone(site.apex, [p.name for p in core.products], regions, site.hosts)
@@ -145,7 +147,7 @@
             dict[str, str](),
             dict[str, float](),
         )  # txns a second of DNS clients, faded
-        self._answers = Answers(
+        self._answer_builder = AnswerBuilder(
             self._zone,
             Regions(site.clients, region),
             site.mailbox,
@@ -153,16 +155,16 @@
             self._tells,
             self._addresses,
             lambda: self._serial & 0xFFFFFFFF,
-            lambda: self.lifetimes.usual,
+            lambda: self.ttl_policy.normal,
         )
         self._asker: tuple[str, bool] = ("", False)
 
     # The plan.
 
     def start(self) -> None:
-        self._give(*(seat.begin() for seat in self.seats))
+        self._give(*(seat.begin() for seat in self.virtual_gateways))
 
-    def period(self, reported: Mapping[str, float]) -> list[Event]:
+    def end_period(self, reported: Mapping[str, float]) -> list[Event]:
         """Once a period: estimates are corrected, and the core is told what came. reported: txns a second
         that servers say they get."""
         now, events = clock_tenths(self._clock), list[Event]()
@@ -172,7 +174,7 @@
         }
         expected = dict[str, float]()  # by all pools: what a server gets is not told by product
         for pool in self.pools.values():
-            for name, volume in pool.askers.period(now).items():
+            for name, volume in pool.resolvers.end_period(now).items():
                 expected[name] = expected.get(name, 0.0) + volume
         self._met = {
             name: self._met.get(name, 0.0)
@@ -184,20 +186,20 @@
             for name, volume in expected.items()
             if volume > 0 and name in self._met
         }
-        for seat in self.seats:
+        for seat in self.virtual_gateways:
             for product in self._core.products:
                 pool = self.pools[product.name, seat.gateway.zone]
-                pool.askers.correct(ratios)
+                pool.resolvers.correct(ratios)
                 events.append(pool.arrivals(seat.gateway, SECOND))
             self._replan(seat)
         return events
 
-    def listing(self) -> None:
+    def list_changed(self) -> None:
         """The list changed: what left it is in no further answer, whatever the core is still to order."""
-        for seat in self.seats:
+        for seat in self.virtual_gateways:
             self._replan(seat)
 
-    def _replan(self, seat: Seat) -> None:
+    def _replan(self, seat: VirtualGateway) -> None:
         port, listed = seat.port, self._core.roster.listed
         if port is None:
             return
@@ -220,9 +222,9 @@
             if targets.keys() != pool.targets.keys():
                 self._serial = max(self._serial + 1, int(self._wall()))
             pool.targets, pool.planned = targets, pool.planned or bool(targets)
-            settled = self.lifetimes.settled(clock_tenths(self._clock))
-            demand = pool.askers.demand or seat.gateway.usual_rate / len(self._core.products)
-            pool.split.plan(shares, demand, settled)
+            settled = self.ttl_policy.settled(clock_tenths(self._clock))
+            demand = pool.resolvers.demand or seat.gateway.usual_rate / len(self._core.products)
+            pool.selector.plan(shares, demand, settled)
             pool.level = int(float(port.held.maps.get(LEVELS_MAP, {}).get(product.name, "1000")))
         self._addresses.clear()
         for name, one in listed.items():
@@ -234,8 +236,8 @@
     def answer(self, data: bytes, source: str, tcp: bool = False) -> bytes:
         """What to send back; nothing for what is dropped."""
         try:
-            question = wire.read(data)
-        except wire.Unreadable as unreadable:
+            question = codec.parse_query(data)
+        except codec.MalformedMessage as unreadable:
             self.counts[Fate.MALFORMED] += 1
             if unreadable.reply and not tcp and not self._lets(source, "", Limited.ERROR):
                 return b""
@@ -244,10 +246,10 @@
         made = self._answer(question, source, tcp or proven)
         if made is None:
             return b""
-        return wire.write(question, attrs.evolve(made, cookie=cookie), tcp)
+        return codec.encode_answer(question, attrs.evolve(made, cookie=cookie), tcp)
 
     def _answer(self, question: Question, source: str, proven: bool) -> Answer | None:
-        bad = self._answers.screen(question)
+        bad = self._answer_builder.screen(question)
         if bad is not None:
             if question.many == 0 and question.edns is not None and not question.edns.faulty:
                 return Answer(Rcode.NOERROR, authoritative=False)  # a cookie is asked for, nothing else
@@ -255,9 +257,9 @@
             if not proven and not self._lets(source, "", Limited.ERROR):
                 return None
             return Answer(bad, authoritative=False)
-        place = self._answers.place(question)
+        place = self._answer_builder.place(question)
         if not proven:
-            verdict = self.limits.take(prefix(source), *self._limit(place), clock_tenths(self._clock))
+            verdict = self.rate_limiter.take(prefix(source), *self._limit(place), clock_tenths(self._clock))
             if verdict is Verdict.DROP:
                 self.counts[Fate.DROPPED] += 1
                 return None
@@ -265,7 +267,7 @@
                 self.counts[Fate.SLIPPED] += 1
                 return Answer(Rcode.NOERROR, truncated=True)
         self._asker = source, proven
-        made = self._answers.answer(question, place, source)
+        made = self._answer_builder.answer(question, place, source)
         fate = FATES.get(made.rcode, Fate.REFUSED)
         empty = fate is Fate.ANSWERED and not made.answers
         self.counts[Fate.EMPTY if empty else fate] += 1
@@ -280,7 +282,7 @@
         return f"{place.product}/{place.host}", Limited.ANSWER
 
     def _lets(self, source: str, name: str, kind: Limited) -> bool:
-        verdict = self.limits.take(prefix(source), name, kind, clock_tenths(self._clock))
+        verdict = self.rate_limiter.take(prefix(source), name, kind, clock_tenths(self._clock))
         if verdict is not Verdict.ANSWER:
             self.counts[Fate.DROPPED] += 1
         return verdict is Verdict.ANSWER
@@ -297,26 +299,26 @@
             return cookies.make(self.site.secret, edns.cookie, source, now), True
         return cookies.make(self.site.secret, edns.cookie, source, now), False
 
-    def _choose(self, asked: Asked, weighed: bool) -> Chosen | None:
+    def _choose(self, asked: PoolQuery, weighed: bool) -> Selection | None:
         """One asker gets one answer until it runs out: asking often changes nothing for anyone."""
         now, (source, proven) = clock_tenths(self._clock), self._asker
         pool = self.pools[asked.product, asked.region]
-        pool.questions += 1
+        pool.query_count += 1
         if not pool.targets:
             return None
-        asker = pool.askers.heard(source, now, proven)
+        asker = pool.resolvers.record_query(source, now, proven)
         kept = -(-(asker.until - now) // SECOND)  # rounded up: the same caches ask when it has run out
         if kept < 1 or not all(name in pool.targets for name in asker.servers):
             kept = self._anew(pool, asker, now, weighed)
-        return Chosen([pool.targets[name] for name in asker.servers], kept)
+        return Selection([pool.targets[name] for name in asker.servers], kept)
 
-    def _anew(self, pool: Pool, asker: Asker, now: int, weighed: bool) -> int:
+    def _anew(self, pool: Pool, asker: Resolver, now: int, weighed: bool) -> int:
         """The asker's next answer, and its life."""
-        volume = pool.askers.volume(asker)
-        ttl = self.lifetimes.of(pool.split.cold, now)
+        volume = pool.resolvers.estimated_load(asker)
+        ttl = self.ttl_policy.of(pool.selector.cold, now)
         many = self._many(pool, volume)
-        servers = pool.split.pick(many, volume, ttl, now, asker.known(), weighed)
-        pool.askers.gave(asker, servers, ttl, now)
+        servers = pool.selector.pick(many, volume, ttl, now, asker.known(), weighed)
+        pool.resolvers.record_answer(asker, servers, ttl, now)
         return ttl
 
     def _many(self, pool: Pool, volume: float) -> int:
@@ -324,18 +326,18 @@
         to who brings a large part."""
         if pool.product.idempotency is Idempotency.ONCE_ONLY:
             return 1
-        part = volume / pool.askers.demand if pool.askers.demand else 0.0
+        part = volume / pool.resolvers.demand if pool.resolvers.demand else 0.0
         return max(1, min(MOST_NAMED, max(self.site.min_servers, round(part * len(pool.targets)))))
 
     def _tells(self, product: str, region: str) -> list[str]:
         pool = self.pools[product, region]
         if not pool.planned:
             return []
-        cold = sum(share.cold for share in pool.split.shares.values())
+        cold = sum(share.cold for share in pool.selector.shares.values())
         return [
             f"servers={len(pool.targets)}",
             f"cold={cold}",
             f"level={pool.level}",
-            f"ttl={self.lifetimes.usual}",
+            f"ttl={self.ttl_policy.normal}",
             f"repeat={pool.product.idempotency.value}",
         ]
--- a/rushladder/dnsfront/split.py
+++ b/rushladder/dnsfront/server_selection.py
@@ -30,12 +30,12 @@
     cold: bool = False
 
 
-class Split:
+class ServerSelector:
     """One pool's. `standing`: txns a second that kept answers bring to each server, by what was estimated."""
 
     def __init__(self) -> None:
         self.shares: Mapping[str, Share] = {}
-        self.standing = dict[str, float]()
+        self.cached_load = dict[str, float]()
         self._warm, self._cold, self._strange = (
             StrideScheduler[str](),
             StrideScheduler[str](),
@@ -83,7 +83,9 @@
         if (
             not found and self.shares
         ):  # all are cold, and full: the one with the most room, as rule 1 is first
-            found = [max(self.shares, key=lambda name: self.allowance(name) - self.standing.get(name, 0.0))]
+            found = [
+                max(self.shares, key=lambda name: self.allowance(name) - self.cached_load.get(name, 0.0))
+            ]
         whole = sum(self.shares[name].weight for name in found)
         parts = {name: self.shares[name].weight / whole if weighed else 1 / len(found) for name in found}
         for name, part in parts.items():
@@ -105,7 +107,7 @@
         return self._cold if self.shares[name].cold else self._warm
 
     def _fits(self, name: str, each: float) -> bool:
-        standing, part = self.standing.get(name, 0.0), self.allowance(name)
+        standing, part = self.cached_load.get(name, 0.0), self.allowance(name)
         return standing + each <= part or (standing == 0.0 and each <= TWICE * part)
 
     def _stand(self, volumes: Mapping[str, float], ttl: int, now: int) -> None:
@@ -122,14 +124,14 @@
             sums = next(sums for at, sums in self._ends if at == end)
             for name, volume in volumes.items():
                 sums[name] = sums.get(name, 0.0) + volume
-                self.standing[name] = self.standing.get(name, 0.0) + volume
+                self.cached_load[name] = self.cached_load.get(name, 0.0) + volume
 
     def expire(self, now: int) -> None:
         """Takes off what has run out: at most a life's seconds of sums, each bounded by the pool."""
         while self._ends and self._ends[0][0] <= now // SECOND:
             for name, volume in self._ends.popleft()[1].items():
-                left = self.standing.get(name, 0.0) - volume
+                left = self.cached_load.get(name, 0.0) - volume
                 if left > 1e-9:
-                    self.standing[name] = left
+                    self.cached_load[name] = left
                 else:
-                    self.standing.pop(name, None)
+                    self.cached_load.pop(name, None)
--- a/rushladder/dnsfront/ports.py
+++ b/rushladder/dnsfront/transports.py
@@ -9,7 +9,7 @@
 from twisted.protocols.basic import Int16StringReceiver
 from twisted.python.failure import Failure
 
-from rushladder.dnsfront.front import Front
+from rushladder.dnsfront.responder import DnsResponder
 from rushladder.runtime.endpoint import CONNECTION_DONE
 from rushladder.timing import Clock
 
@@ -17,8 +17,8 @@
 MOST, MOST_EACH = 512, 16  # connections in all, and of one address
 
 
-class Datagrams(protocol.DatagramProtocol):
-    def __init__(self, front: Front) -> None:
+class DnsDatagramProtocol(protocol.DatagramProtocol):
+    def __init__(self, front: DnsResponder) -> None:
         self._front = front
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
@@ -31,7 +31,7 @@
 class Stream(Int16StringReceiver):
     """One connection; questions are answered in their order."""
 
-    def __init__(self, front: Front, clock: Clock) -> None:
+    def __init__(self, front: DnsResponder, clock: Clock) -> None:
         self._front, self._clock = front, clock
         self._quiet: Any = None
 
@@ -60,10 +60,10 @@
             self._quiet.cancel()
 
 
-class Streams(protocol.ServerFactory):
+class DnsStreamFactory(protocol.ServerFactory):
     """Bounded in all and for each address."""
 
-    def __init__(self, front: Front, clock: Clock) -> None:
+    def __init__(self, front: DnsResponder, clock: Clock) -> None:
         self._front, self._clock, self._open = front, clock, Counter[str]()
 
     def buildProtocol(self, addr: Any) -> protocol.Protocol | None:
--- a/rushladder/dnsfront/lifetimes.py
+++ b/rushladder/dnsfront/ttl_policy.py
@@ -14,13 +14,13 @@
 COLD = 1  # s, of an answer that names a cold server: its part is set anew each beat (rule 4)
 
 
-class Lifetimes:
+class TtlPolicy:
     """grace: in which a drain is to be kept; way: the longest one from the list to an answer; both in
     tenths of a millisecond."""
 
     def __init__(self, grace: int, way: int, now: int, draw: Callable[[], float]) -> None:
-        self.usual = max(0, min(MOST, (grace - way - USE) // SECOND))
-        self._until, self._draw = now + self.usual * SECOND, draw
+        self.normal = max(0, min(MOST, (grace - way - USE) // SECOND))
+        self._until, self._draw = now + self.normal * SECOND, draw
 
     def of(self, cold: bool, now: int) -> int:
         """The TTL of an answer, in whole seconds; 0 where the grace leaves no room to keep one (rule 3).
@@ -28,7 +28,7 @@
         Resolvers that ask all at once, as after a restart, are spread over the first life, so that they do
         not ask all at once again.
         """
-        usual = min(self.usual, COLD) if cold else self.usual
+        usual = min(self.normal, COLD) if cold else self.normal
         if now < self._until and usual > 1:
             return 1 + int(self._draw() * usual)
         return usual
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -602,10 +602,10 @@
         if front is None:
             raise CommandRefused("No zone is configured.")
         text = "".join(f"{fate.name}: {many}\n" for fate, many in front.counts.items())
-        text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
+        text += f"ttl: {front.ttl_policy.normal}\nbuckets: {len(front.rate_limiter)}\n"
         rows = list[list[object]]()
         for (product, region), pool in front.pools.items():
-            for server, share in pool.split.shares.items():
+            for server, share in pool.selector.shares.items():
                 rows.append(
                     [
                         product,
@@ -613,8 +613,8 @@
                         server,
                         f"{share.weight:g}",
                         int(share.cold),
-                        f"{pool.split.allowance(server):.2f}",
-                        f"{pool.split.standing.get(server, 0.0):.2f}",
+                        f"{pool.selector.allowance(server):.2f}",
+                        f"{pool.selector.cached_load.get(server, 0.0):.2f}",
                     ]
                 )
         return text + format_csv(
@@ -630,15 +630,17 @@
                 product,
                 region,
                 asker.source,
-                asker.asked,
-                f"{pool.askers.volume(asker):.2f}",
-                f"{TENTHS_PER_SECOND / asker.wait if asker.wait else 0:.2f}",
+                asker.queries,
+                f"{pool.resolvers.estimated_load(asker):.2f}",
+                f"{TENTHS_PER_SECOND / asker.mean_wait if asker.mean_wait else 0:.2f}",
                 int(asker.known()),
-                f"{(now - asker.last) / TENTHS_PER_SECOND:.1f}",
+                f"{(now - asker.last_query) / TENTHS_PER_SECOND:.1f}",
                 " ".join(asker.servers),
             ]
             for (product, region), pool in front.pools.items()
-            for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[:SHOWN]
+            for asker in sorted(pool.resolvers.all(), key=lambda one: -pool.resolvers.estimated_load(one))[
+                :SHOWN
+            ]
         ]
         return format_csv(
             ("pxname", "region", "resolver", "asked", "txns_s", "by_waits", "known", "age_s", "servers"), rows
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -17,7 +17,7 @@
 from rushladder.core.host import Core
 from rushladder.core.traffic import TrafficSums
 from rushladder.core.roster import Roster
-from rushladder.dnsfront.front import Front
+from rushladder.dnsfront.responder import DnsResponder
 from rushladder.gateways.driver import GatewayDriver, Log, DriverTimes
 from rushladder.gateways.election import HolderElection, HolderState, lease_and_settle_times
 from rushladder.guard.waves import Effect
@@ -164,7 +164,7 @@
         self._by_gateway: dict[Gateway, Kicked] = {driver.gateway: driver for driver in self.drivers}
         self.dns = self._dns(wall)
         if self.dns is not None:
-            self._by_gateway |= {seat.gateway: seat for seat in self.dns.seats}
+            self._by_gateway |= {seat.gateway: seat for seat in self.dns.virtual_gateways}
         if memory is not None:
             memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.desk)
@@ -269,11 +269,11 @@
             self.stop()
             self.replaced()
 
-    def _dns(self, wall: Callable[[], float]) -> Front | None:
+    def _dns(self, wall: Callable[[], float]) -> DnsResponder | None:
         plan = self.plan
         if plan.dns is None:
             return None
-        return Front(
+        return DnsResponder(
             # Where managers share no secret, each knows its own cookies only.
             attrs.evolve(plan.dns, secret=plan.dns.secret or secrets.token_bytes(16)),
             plan.identity.name,
@@ -293,7 +293,7 @@
         if self.dns is None:
             return []
         try:
-            return self.dns.period(self.desk.rates(clock_tenths(self.clock)))
+            return self.dns.end_period(self.desk.rates(clock_tenths(self.clock)))
         except Exception as trouble:
             self.fault(f"the DNS front's period failed: {type(trouble).__name__}: {trouble}")
             return []
@@ -348,7 +348,7 @@
             )
             self._reporters()
             if self.dns is not None:
-                self.dns.listing()
+                self.dns.list_changed()
             self.handle_events(event)
             if self.memory is not None:
                 self.memory.listing(self.roster, clock_tenths(self.clock))
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -13,8 +13,7 @@
 from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS
 from rushladder.conf.grammar import Address
 from rushladder.conf.objects import GatewayConfig, ManagerConfig
-from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
-from rushladder.dnsfront.ports import Streams as DnsStreams
+from rushladder.dnsfront.transports import DnsDatagramProtocol, DnsStreamFactory
 from rushladder.intake.agent import AgentStatus
 from rushladder.intake.receiver import ReceiverSupervisor, bind_report_socket
 from rushladder.intake.ports import AgentCheck, ReportStreams
@@ -153,10 +152,10 @@
         if self._plan.dns is not None and self.manager.dns is not None:
             where, front = self._plan.dns.address, self.manager.dns
             port = reactor.listenUDP(
-                where.port, DnsDatagrams(front), interface=where.host, maxPacketSize=DNS_MOST
+                where.port, DnsDatagramProtocol(front), interface=where.host, maxPacketSize=DNS_MOST
             )
             port.maxThroughput = UDP_READ_BUDGET
-            await server_endpoint(where).listen(DnsStreams(front, reactor))
+            await server_endpoint(where).listen(DnsStreamFactory(front, reactor))
         for kind, where in self._plan.report_listeners:
             if kind == "udp":
                 keeper = ReceiverSupervisor(self.manager.desk, bind_report_socket(where), self.manager.fault)
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -19,13 +19,13 @@
 
 from rushladder.conf.grammar import InvalidConfig
 from rushladder.conf.reader import parse_config
-from rushladder.dnsfront import cookies, wire
-from rushladder.dnsfront.askers import Askers
-from rushladder.dnsfront.front import Front
-from rushladder.dnsfront.lifetimes import USE, Lifetimes
-from rushladder.dnsfront.limits import Kind, Limiter, Verdict, prefix
-from rushladder.dnsfront.records import Answer, Rcode, Record, Type
-from rushladder.dnsfront.split import TWICE, Share, Split
+from rushladder.dnsfront import codec, cookies
+from rushladder.dnsfront.resolver_demand import ResolverTable
+from rushladder.dnsfront.responder import DnsResponder
+from rushladder.dnsfront.ttl_policy import USE, TtlPolicy
+from rushladder.dnsfront.rate_limit import Kind, RateLimiter, Verdict, prefix
+from rushladder.dnsfront.messages import Answer, Rcode, Record, Type
+from rushladder.dnsfront.server_selection import TWICE, Share, ServerSelector
 from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 from tests.test_paths import ctl
 from tests.fake_cluster import FakeCluster, FakeProber
@@ -76,7 +76,7 @@
 
 class SplitStories(unittest.TestCase):
     def test_load_not_answers_follows_the_weights_where_one_asker_brings_half(self) -> None:
-        split, got, draw = Split(), Counter[str](), Random(2)
+        split, got, draw = ServerSelector(), Counter[str](), Random(2)
         shares = {"a": Share(1.0), "b": Share(1.0), "c": Share(2.0)}
         split.plan(shares, 20.0)
         for turn in range(4000):
@@ -88,7 +88,7 @@
             self.assertAlmostEqual(got[name] / whole, share.weight / 4, delta=0.01)
 
     def test_where_the_answer_tells_weights_each_pays_for_its_part(self) -> None:
-        split, got = Split(), Counter[str]()
+        split, got = ServerSelector(), Counter[str]()
         shares = {"a": Share(1.0), "b": Share(5.0), "c": Share(2.0)}
         split.plan(shares, 20.0)
         for turn in range(3000):
@@ -99,16 +99,16 @@
             self.assertAlmostEqual(got[name] / whole, share.weight / 8, delta=0.01)
 
     def test_a_cold_server_never_gets_more_than_its_part_with_what_kept_answers_bring(self) -> None:
-        split, draw, most = Split(), Random(3), 0.0
+        split, draw, most = ServerSelector(), Random(3), 0.0
         split.plan({"a": Share(4.0), "b": Share(4.0), "cold": Share(1.0, True)}, 90.0)
         for turn in range(5000):
             split.pick(2, draw.choice((0.5, 1.0, 30.0)), 3, turn * 700)
-            most = max(most, split.standing.get("cold", 0.0))
+            most = max(most, split.cached_load.get("cold", 0.0))
         self.assertGreater(most, 5.0)  # it is used,
         self.assertLessEqual(most, 10.0 + 1e-9)  # up to its ninth of 90 and no more
 
     def test_after_a_start_cold_servers_wait_until_former_answers_have_run_out(self) -> None:
-        split, shares = Split(), {"warm": Share(1.0), "cold": Share(1.0, True)}
+        split, shares = ServerSelector(), {"warm": Share(1.0), "cold": Share(1.0, True)}
         split.plan(shares, 10.0, settled=False)
         self.assertEqual({name for k in range(20) for name in split.pick(2, 1.0, 2, k)}, {"warm"})
         split.plan({"cold": Share(1.0, True)}, 10.0, settled=False)  # rule 1 is first
@@ -117,12 +117,12 @@
         self.assertIn("cold", {name for k in range(20) for name in split.pick(2, 1.0, 2, 40 * SECOND + k)})
 
     def test_where_nearly_all_are_cold_the_pool_is_never_answered_empty(self) -> None:
-        split = Split()
+        split = ServerSelector()
         split.plan({f"c{k}": Share(1.0, True) for k in range(40)} | {"warm": Share(1.0)}, 4.0)
         for turn in range(500):
             found = split.pick(3, 2.0, 5, turn)
             self.assertTrue(found)
-            for name, volume in split.standing.items():
+            for name, volume in split.cached_load.items():
                 if name != "warm":
                     self.assertLessEqual(volume, TWICE * split.allowance(name) + 1e-9)
         split.plan({f"c{k}": Share(1.0, True) for k in range(3)}, 4.0)
@@ -138,7 +138,7 @@
     def test_whatever_changes_only_servers_of_the_plan_are_named_and_sums_run_out(
         self, story: list[tuple[dict[int, float], list[tuple[float, int]]]]
     ) -> None:
-        split, now = Split(), 0
+        split, now = ServerSelector(), 0
         for plan, questions in story:
             split.plan({f"s{k}": Share(w, k % 3 == 0) for k, w in plan.items()}, 10.0)
             for volume, ttl in questions:
@@ -146,24 +146,24 @@
                 found = split.pick(2, volume, ttl, now, known=volume < 25)
                 self.assertTrue(found and set(found) <= set(split.shares))
         split.expire(now + 11 * SECOND)
-        self.assertEqual(split.standing, {})
+        self.assertEqual(split.cached_load, {})
 
 
 class AskerStories(unittest.TestCase):
     def test_what_each_brings_is_told_by_how_soon_it_asks_again(self) -> None:
-        askers, draw, rates = Askers(), Random(4), {"small": 0.5, "middle": 5.0, "large": 100.0}
+        askers, draw, rates = ResolverTable(), Random(4), {"small": 0.5, "middle": 5.0, "large": 100.0}
         due = dict.fromkeys(rates, 0.0)
         for _ in range(600):
             name = min(due, key=lambda one: due[one])
             now = int(due[name])
-            askers.gave(askers.heard(name, now, False), {"s": 1.0}, 2, now)
+            askers.record_answer(askers.record_query(name, now, False), {"s": 1.0}, 2, now)
             due[name] = now + 2 * SECOND + draw.expovariate(rates[name]) * SECOND
         for name, rate in rates.items():
-            volume = askers.volume(askers.known[name])
+            volume = askers.estimated_load(askers.known[name])
             self.assertTrue(rate / 2.5 < volume < rate * 2.5, (name, volume))
 
     def test_measured_load_corrects_what_the_waits_tell(self) -> None:
-        askers, draw, met = Askers(), Random(5), dict.fromkeys("abcd", 0.0)
+        askers, draw, met = ResolverTable(), Random(5), dict.fromkeys("abcd", 0.0)
         rates = {"chatty": 1.0, "batched": 40.0, "usual": 10.0}  # one asks far too often, one far too rarely
         looks = {"chatty": 10.0, "batched": 5.0, "usual": 10.0}
         for period in range(400):
@@ -171,53 +171,55 @@
             for name, look in looks.items():
                 asker = askers.find(name)
                 if asker is None or now > asker.until:
-                    asker = askers.heard(name, (asker.until if asker else now) + int(SECOND / look), True)
-                    askers.gave(asker, {draw.choice("abcd"): 1.0}, 3, now)
+                    asker = askers.record_query(
+                        name, (asker.until if asker else now) + int(SECOND / look), True
+                    )
+                    askers.record_answer(asker, {draw.choice("abcd"): 1.0}, 3, now)
             later, load = now + SECOND, dict.fromkeys(met, 0.0)
             for name, rate in rates.items():
                 load[next(iter(askers.known[name].servers))] += rate
             met = {server: old + 0.1 * (load[server] - old) for server, old in met.items()}
-            expected = askers.period(later)
+            expected = askers.end_period(later)
             askers.correct({s: min(4.0, max(0.25, met[s] / e)) for s, e in expected.items() if e > 0})
-        off = sum(abs(askers.volume(askers.known[name]) - rate) for name, rate in rates.items())
+        off = sum(abs(askers.estimated_load(askers.known[name]) - rate) for name, rate in rates.items())
         self.assertLess(off / sum(rates.values()), 0.4)  # by waits alone: 0.86
 
     def test_a_short_use_of_a_server_is_forgotten_and_costs_nothing(self) -> None:
-        askers = Askers()
-        askers.gave(askers.heard("r", 0, True), {"a": 0.001, "b": 0.999}, 2, 0)
-        self.assertEqual(set(askers.period(1)), set())
-        askers.heard("r", 3 * SECOND, True)
-        self.assertEqual(set(askers.period(3 * SECOND)), {"b"})
+        askers = ResolverTable()
+        askers.record_answer(askers.record_query("r", 0, True), {"a": 0.001, "b": 0.999}, 2, 0)
+        self.assertEqual(set(askers.end_period(1)), set())
+        askers.record_query("r", 3 * SECOND, True)
+        self.assertEqual(set(askers.end_period(3 * SECOND)), {"b"})
 
     def test_the_table_is_bounded_and_strangers_push_out_nobody_who_is_known(self) -> None:
-        askers = Askers(most=100)
+        askers = ResolverTable(most=100)
         for k in range(20):
-            askers.heard(f"known {k}", 1, True)
+            askers.record_query(f"known {k}", 1, True)
         for k in range(5000):
-            askers.heard(f"spoofed {k}", 2 + k, False)
+            askers.record_query(f"spoofed {k}", 2 + k, False)
         self.assertEqual((len(askers.known), len(askers.strangers)), (20, 25))
         for k in range(500):
-            askers.heard(f"other {k}", 9000 + k, True)
+            askers.record_query(f"other {k}", 9000 + k, True)
         self.assertEqual(len(askers.known), 100)
 
 
 class RuleStories(unittest.TestCase):
     def test_no_answer_outlives_a_drains_grace(self) -> None:
         for grace in range(0, 600_000, 7000):
-            lives = Lifetimes(grace, 5000, 0, Random(1).random)
+            lives = TtlPolicy(grace, 5000, 0, Random(1).random)
             for now in (0, 10**9):
                 ttl = lives.of(False, now)
                 self.assertTrue(ttl == 0 or ttl * SECOND + 5000 + USE <= grace, (grace, ttl))
 
     def test_after_a_start_answers_run_out_at_different_times(self) -> None:
-        lives = Lifetimes(200_000, 5000, 0, Random(1).random)
+        lives = TtlPolicy(200_000, 5000, 0, Random(1).random)
         self.assertGreater(len({lives.of(False, 0) for _ in range(100)}), 8)
-        self.assertEqual({lives.of(False, 10**7) for _ in range(100)}, {lives.usual})
+        self.assertEqual({lives.of(False, 10**7) for _ in range(100)}, {lives.normal})
 
 
 class LimitStories(unittest.TestCase):
     def test_a_spoofed_victim_gets_a_trickle_and_others_all(self) -> None:
-        limits, found = Limiter(), Counter[Verdict]()
+        limits, found = RateLimiter(), Counter[Verdict]()
         for turn in range(10_000):  # 10,000 a second
             found[limits.take("10.0.0", "pool", Kind.ANSWER, turn)] += 1
             if turn % 1000 == 0:
@@ -226,7 +228,7 @@
         self.assertAlmostEqual(found[Verdict.SLIP], found[Verdict.DROP], delta=1)
 
     def test_floods_from_made_up_prefixes_fill_a_bounded_table(self) -> None:
-        limits = Limiter(most=200)
+        limits = RateLimiter(most=200)
         verdicts = Counter(limits.take(f"p{k}", "pool", Kind.ANSWER, k) for k in range(5000))
         self.assertEqual(len(limits), 200)
         self.assertGreater(verdicts[Verdict.DROP], 2000)
@@ -269,7 +271,7 @@
         )
         return text + DNS
 
-    def front(self, name: str = "m0") -> Front:
+    def front(self, name: str = "m0") -> DnsResponder:
         front = self.managers[name].dns
         assert front is not None
         return front
@@ -371,7 +373,7 @@
         option = dns.edns.ECSOption("10.2.3.0", 24)
         answer = self.world.ask("_ask._tcp.svc.example", "SRV", use_edns=0, options=[option])
         self.assertEqual([(one.srclen, one.scopelen) for one in answer.options], [(24, 16)])
-        told = {(p, r): pool.questions for (p, r), pool in self.world.front().pools.items()}
+        told = {(p, r): pool.query_count for (p, r), pool in self.world.front().pools.items()}
         self.assertEqual((told["ask", "b"], told["ask", "a"]), (1, 0))
         other = dns.edns.ECSOption("192.0.2.0", 24)
         answer = self.world.ask("_ask._tcp.svc.example", "SRV", use_edns=0, options=[other])
@@ -396,11 +398,11 @@
     def test_asking_often_changes_nothing_for_anyone(self) -> None:
         pool = self.world.front().pools["ask", "a"]
         self.world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True)
-        before = dict(pool.split.standing)
+        before = dict(pool.selector.cached_load)
         found = {
             frozenset(self.world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True)) for _ in range(500)
         }
-        self.assertEqual((len(found), pool.split.standing), (1, before))
+        self.assertEqual((len(found), pool.selector.cached_load), (1, before))
 
     def test_a_flood_from_made_up_prefixes_changes_nothing_for_others(self) -> None:
         front, found = self.world.front(), list[Counter[str]]()
@@ -418,8 +420,8 @@
                 self.world.run(0.11)
             found.append(got)
         pool = front.pools["ask", "a"]
-        self.assertLessEqual(len(pool.askers.strangers), 1024)
-        self.assertEqual(len(pool.askers.known), 6)
+        self.assertLessEqual(len(pool.resolvers.strangers), 1024)
+        self.assertEqual(len(pool.resolvers.known), 6)
         for name, many in found[0].items():
             self.assertAlmostEqual(found[1][name] / many, 1.0, delta=0.1)
 
@@ -430,7 +432,7 @@
             for k in range(500):
                 front.answer(data, f"10.{k % 250}.{k // 250}.1")
             self.world.run(2.01)
-        demand = front.pools["ask", "a"].askers.demand
+        demand = front.pools["ask", "a"].resolvers.demand
         self.assertTrue(0 < demand <= 4 * 20 / 2 / 2, demand)  # four times what is usual there
 
     def test_an_answer_by_tcp_is_the_one_that_was_truncated(self) -> None:
@@ -459,7 +461,7 @@
         self.assertEqual(
             dns.message.from_wire(world.front().answer(data, "127.0.0.9")).rcode(), dns.rcode.SERVFAIL
         )
-        until = world.front().lifetimes._until
+        until = world.front().ttl_policy._until
         self.assertGreater(until, world.clock.seconds() * SECOND)
         world.run(1.5, rate=10)
         lives = {
@@ -480,10 +482,10 @@
             world.run(0.13, rate=1)
             standing = allowed = 0.0
             for name in world.managers:
-                split = world.front(name).pools["ask", "a"].split
+                split = world.front(name).pools["ask", "a"].selector
                 share = split.shares.get("s9")
                 if share is not None and share.cold:
-                    standing += split.standing.get("s9", 0.0)
+                    standing += split.cached_load.get("s9", 0.0)
                     allowed += TWICE * split.allowance("s9")
             most = max(most, standing)
             self.assertLessEqual(standing, allowed + 1e-9)
@@ -531,7 +533,7 @@
             for k in range(5):
                 world.named("_ask._tcp.a.svc.example", kind="SRV", tcp=True, source=f"127.0.5.{k}")
             world.run(0.13)
-        seat = world.front().seats[0].gateway
+        seat = world.front().virtual_gateways[0].gateway
         product = world.managers["m0"].core.products[0]
         many, covers = seat.arrivals[product].total(int(world.clock.seconds() * SECOND), 4)
         # Five resolvers, each asking 0.08 s after its answer ran out: some 12 txns a second each.
@@ -594,24 +596,24 @@
         self.assertEqual(data[3] & 15, dns.rcode.FORMERR)
 
     def test_an_answer_that_does_not_fit_says_so(self) -> None:
-        question = wire.read(dns.message.make_query("_ask._tcp.svc.example", "SRV").to_wire())
+        question = codec.parse_query(dns.message.make_query("_ask._tcp.svc.example", "SRV").to_wire())
         many = tuple(
             Record("_ask._tcp.svc.example", Type.SRV, 1, (0, 1, 80, f"server-{k}.servers.svc.example"))
             for k in range(30)
         )
-        short = dns.message.from_wire(wire.write(question, Answer(Rcode.NOERROR, many), False))
+        short = dns.message.from_wire(codec.encode_answer(question, Answer(Rcode.NOERROR, many), False))
         self.assertTrue(short.flags & dns.flags.TC and not short.answer)
-        whole = dns.message.from_wire(wire.write(question, Answer(Rcode.NOERROR, many), True))
+        whole = dns.message.from_wire(codec.encode_answer(question, Answer(Rcode.NOERROR, many), True))
         self.assertEqual(len(whole.answer[0]), 30)
 
 
 class DnsFuzz:
     """One world for all examples: what they send must change nothing."""
 
-    _front: Front | None = None
+    _front: DnsResponder | None = None
 
     @classmethod
-    def front(cls) -> Front:
+    def front(cls) -> DnsResponder:
         if cls._front is None:
             world = DnsWorld(gateways=1)
             world.run(3)
