--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -18,7 +18,7 @@
     from rushladder.dnsfront import codec
 
 from rushladder.dnsfront.messages import MAX_UDP_SIZE
-from tests.test_dns import DnsFuzz
+from tests.test_dns import DnsFuzzTarget
 
 NAMES = (b"\4_ask\4_tcp\3svc\7example\0", b"\3ask\3svc\7example\0", b"\3svc\7example\0")
 
@@ -39,7 +39,7 @@
 
 
 def one(data: bytes) -> None:
-    front = DnsFuzz.front()
+    front = DnsFuzzTarget.responder()
     for tcp in (False, True):
         answer = front.answer(data, "192.0.2.1", tcp)
         if answer and (len(answer) > MAX_UDP_SIZE or not answer[2] & 0x80 or answer[:2] != data[:2]):
@@ -54,7 +54,7 @@
 
 
 def main() -> None:
-    DnsFuzz.front()
+    DnsFuzzTarget.responder()
     with tempfile.TemporaryDirectory() as corpus:
         for place, seed in enumerate(seeds()):
             Path(corpus, str(place)).write_bytes(seed)
--- a/rushladder/dnsfront/__init__.py
+++ b/rushladder/dnsfront/__init__.py
@@ -1,1 +1,1 @@
-"""Authoritative DNS answers with weights, on the same core as the runtime front."""
+"""Authoritative DNS server with weighted answers, driven by the same core as the other gateways."""
--- a/rushladder/dnsfront/cookies.py
+++ b/rushladder/dnsfront/cookies.py
@@ -1,35 +1,41 @@
-"""DNS cookies (RFC 7873; laid out as RFC 9018 has it, with a keyed BLAKE2 in place of SipHash, which the RFCs
-leave to the server). Free of I/O."""
+"""DNS cookies (RFC 7873), without I/O.
+
+The layout is that of RFC 9018, with keyed BLAKE2 in place of SipHash: the RFCs leave the hash to the server.
+"""
 
 from __future__ import annotations
 
 import hashlib
 import hmac
 
-LIFE = 3600  # s that a server cookie is taken for; RFC 9018
-AHEAD = 300  # s that another manager's clock may be ahead
-RENEW = 1800  # s after which a new one is given
+MAX_AGE = 3600  # s for which a server cookie is accepted (RFC 9018)
+MAX_CLOCK_SKEW = 300  # s by which the clock of the manager that made the cookie may be ahead
+RENEW_AFTER = 1800  # s after which a client gets a new cookie
+
 
+def _digest(secret: bytes, client_cookie: bytes, header: bytes, address: str) -> bytes:
+    return hashlib.blake2b(client_cookie + header + address.encode(), key=secret, digest_size=8).digest()
 
-def _digest(secret: bytes, client: bytes, head: bytes, address: str) -> bytes:
-    return hashlib.blake2b(client + head + address.encode(), key=secret, digest_size=8).digest()
 
+def make_server_cookie(secret: bytes, client_cookie: bytes, address: str, now: int) -> bytes:
+    """Returns a server cookie of 16 bytes.
 
-def make(secret: bytes, client: bytes, address: str, now: int) -> bytes:
-    """The 16 bytes of a server cookie. now: seconds since 1970, shared by all managers with the secret."""
-    head = b"\x01\0\0\0" + (now & 0xFFFFFFFF).to_bytes(4, "big")
-    return head + _digest(secret, client, head, address)
+    now: seconds since 1970, the time that all managers with the same secret go by.
+    """
+    header = b"\x01\0\0\0" + (now & 0xFFFFFFFF).to_bytes(4, "big")
+    return header + _digest(secret, client_cookie, header, address)
 
 
-def holds(secret: bytes, client: bytes, given: bytes, address: str, now: int) -> bool:
-    """Whether a server cookie is ours, for this client and address, and not too old."""
-    if len(given) != 16 or given[0] != 1:
+def is_valid(secret: bytes, client_cookie: bytes, server_cookie: bytes, address: str, now: int) -> bool:
+    """Whether a server cookie was made with the secret for this client and address, and has not expired."""
+    if len(server_cookie) != 16 or server_cookie[0] != 1:
         return False
-    age = now - int.from_bytes(given[4:8], "big")
-    return -AHEAD <= age <= LIFE and hmac.compare_digest(
-        given[8:], _digest(secret, client, given[:8], address)
+    age = now - int.from_bytes(server_cookie[4:8], "big")
+    return -MAX_CLOCK_SKEW <= age <= MAX_AGE and hmac.compare_digest(
+        server_cookie[8:], _digest(secret, client_cookie, server_cookie[:8], address)
     )
 
 
-def stale(given: bytes, now: int) -> bool:
-    return now - int.from_bytes(given[4:8], "big") > RENEW
+def needs_renewal(server_cookie: bytes, now: int) -> bool:
+    """Whether a valid server cookie is old enough to be replaced."""
+    return now - int.from_bytes(server_cookie[4:8], "big") > RENEW_AFTER
--- a/rushladder/dnsfront/messages.py
+++ b/rushladder/dnsfront/messages.py
@@ -1,6 +1,6 @@
-"""Questions and answers as the planning sees them: no bytes, no sockets.
+"""Decoded DNS queries and answers, independent of the wire format and of sockets.
 
-Numbers: RFC 1035, 2782, 6891, 7873.
+The numbers are those of RFC 1035, 2782, 6891 and 7873.
 """
 
 from __future__ import annotations
@@ -11,6 +11,8 @@
 
 
 class Type(IntEnum):
+    """Resource record types, and the types that only a query may have."""
+
     A = 1
     NS = 2
     CNAME = 5
@@ -26,6 +28,8 @@
 
 
 class Rcode(IntEnum):
+    """Response codes; those above 15 need EDNS."""
+
     NOERROR = 0
     FORMERR = 1
     SERVFAIL = 2
@@ -37,13 +41,16 @@
 
 
 IN, ANY_CLASS = 1, 255
-DEFAULT_UDP_SIZE = 512  # bytes of a UDP answer to one who says nothing else
-MAX_UDP_SIZE = 1232  # bytes of any UDP answer: what passes networks unfragmented
+DEFAULT_UDP_SIZE = 512  # bytes of a UDP answer to a client without EDNS
+MAX_UDP_SIZE = 1232  # bytes of any UDP answer: larger ones may be fragmented on the way
 
 
 @attrs.frozen
 class Subnet:
-    """A client subnet option: family 1 (IPv4) or 2 (IPv6), prefix length in bits, the address' bytes."""
+    """An EDNS client subnet option (RFC 7871).
+
+    family: 1 (IPv4) or 2 (IPv6); length: source prefix length in bits; address: the bytes of the prefix.
+    """
 
     family: int
     length: int
@@ -52,35 +59,42 @@
 
 @attrs.frozen
 class Edns:
-    """What the asker's OPT record says. cookie: the client's 8 bytes; returned: the server cookie it gave
-    back."""
+    """The OPT record of a query.
 
-    size: int = DEFAULT_UDP_SIZE
+    client_cookie: the client's 8 bytes; server_cookie: the server cookie that the client returned;
+    malformed: an option could not be parsed.
+    """
+
+    udp_size: int = DEFAULT_UDP_SIZE
     version: int = 0
-    cookie: bytes = b""
-    returned: bytes = b""
+    client_cookie: bytes = b""
+    server_cookie: bytes = b""
     subnet: Subnet | None = None
-    faulty: bool = False  # an option that can't be read
+    malformed: bool = False
 
 
 @attrs.frozen
-class Question:
-    """name: lower case, without the last dot; raw: as it came; empty where none was asked (cookie only)."""
+class Query:
+    """A DNS query.
+
+    name: the query name in lower case, without the trailing dot; raw_name: the name as received. Both are
+    empty in a query without a question, which only asks for a cookie.
+    """
 
     id: int
     opcode: int
     recursion: bool
     name: str
-    raw: bytes
-    type: int
-    cls: int
+    raw_name: bytes
+    qtype: int
+    qclass: int
     edns: Edns | None = None
-    many: int = 1  # questions in the message
+    question_count: int = 1
 
 
 @attrs.frozen
 class Record:
-    """One record to give: data as its type has it (address; host; SOA's seven; strings; SRV's four)."""
+    """A resource record to send. data: the RDATA fields of its type (for example four of an SRV)."""
 
     name: str
     type: Type
@@ -90,7 +104,10 @@
 
 @attrs.frozen
 class Answer:
-    """scope: bits of the client subnet that the answer was chosen by; None where it was not asked."""
+    """The answer to a query, by section.
+
+    scope: scope prefix length of the client subnet option; None if the query had no such option.
+    """
 
     rcode: Rcode
     answers: tuple[Record, ...] = ()
@@ -99,4 +116,4 @@
     authoritative: bool = True
     truncated: bool = False
     scope: int | None = None
-    cookie: bytes = b""
+    server_cookie: bytes = b""
--- a/rushladder/dnsfront/rate_limit.py
+++ b/rushladder/dnsfront/rate_limit.py
@@ -1,8 +1,8 @@
-"""Response rate limiting: token buckets by prefix and kind of answer, in a bounded table. Free of I/O.
+"""Response rate limiting with one token bucket for each client prefix and kind of response, without I/O.
 
-A spoofed sender's victim gets no more than a trickle, of answers no longer than the questions: every second
-answer over the limit is empty and truncated, which leads a real resolver to TCP, the others are dropped.
-Whoever has shown that its address is its own (TCP, or a server cookie) is not limited here.
+Limits what a victim of spoofed queries receives, in number and size: of the responses over the limit every
+second one is empty and truncated, so that a real resolver retries over TCP, and the others are dropped.
+Clients whose address is verified (by TCP or a server cookie) are not limited here.
 """
 
 from __future__ import annotations
@@ -11,14 +11,17 @@
 
 import attrs
 
-SECOND = 10_000
-MOST = 16_384  # buckets: some 3 MiB; what a /24 floods with takes a few
-IDLE = 20_000  # 2 s after which a bucket is surely full again, and may go
+SECOND = 10_000  # in tenths of a millisecond, the unit of all times here
+MAX_BUCKETS = 16_384  # some 3 MiB; a flood from one /24 uses a few
+REFILLED_AFTER = 20_000  # 2 s, after which a bucket is certainly full again and may be evicted
 
 
-class Kind(Enum):
-    """What is answered, and how many of it a second and prefix. A resolver asks a name once a TTL; a whole
-    network's resolvers share a prefix. Errors are what floods of made-up names get."""
+class ResponseKind(Enum):
+    """Kinds of responses that are limited apart; the value is the limit per second and prefix.
+
+    ANSWER allows for all resolvers of a network, which share a prefix; each queries a name once per TTL.
+    ERROR covers floods of queries for random names.
+    """
 
     ANSWER = 50.0
     EMPTY = 20.0
@@ -26,6 +29,8 @@
 
 
 class Verdict(Enum):
+    """What to do with a response. SLIP: send it empty and truncated."""
+
     ANSWER = "answered"
     SLIP = "truncated"
     DROP = "dropped"
@@ -34,51 +39,54 @@
 @attrs.define
 class _Bucket:
     tokens: float
-    at: int
-    slips: int = 0
+    updated: int
+    limited: int = 0
 
 
 class RateLimiter:
-    """One table for all. Newcomers that find it full of live buckets share one bucket among them."""
+    """A bounded table of token buckets. New keys share one bucket while the table is full of active ones."""
 
-    def __init__(self, most: int = MOST) -> None:
-        self._most, self._buckets = most, dict[tuple[str, str, Kind], _Bucket]()
-        self._rest = _Bucket(Kind.ANSWER.value, 0)
+    def __init__(self, max_buckets: int = MAX_BUCKETS) -> None:
+        self._max_buckets, self._buckets = max_buckets, dict[tuple[str, str, ResponseKind], _Bucket]()
+        self._overflow = _Bucket(ResponseKind.ANSWER.value, 0)
         self.counts = dict.fromkeys(Verdict, 0)
 
     def __len__(self) -> int:
         return len(self._buckets)
 
-    def take(self, prefix: str, name: str, kind: Kind, now: int) -> Verdict:
-        """name: the pool or zone that is asked for, so that made-up names share theirs."""
+    def take(self, prefix: str, name: str, kind: ResponseKind, now: int) -> Verdict:
+        """Takes a token for a response. name: the pool or zone, so that random names share a bucket."""
         bucket = self._bucket((prefix, name, kind), now)
         rate = kind.value
-        bucket.tokens = min(rate, bucket.tokens + rate * (now - bucket.at) / SECOND)
-        bucket.at = now
+        bucket.tokens = min(rate, bucket.tokens + rate * (now - bucket.updated) / SECOND)
+        bucket.updated = now
         if bucket.tokens >= 1:
             bucket.tokens -= 1
             verdict = Verdict.ANSWER
         else:
-            bucket.slips += 1
-            verdict = Verdict.SLIP if bucket.slips % 2 else Verdict.DROP
+            bucket.limited += 1
+            verdict = Verdict.SLIP if bucket.limited % 2 else Verdict.DROP
         self.counts[verdict] += 1
         return verdict
 
-    def _bucket(self, key: tuple[str, str, Kind], now: int) -> _Bucket:
-        found = self._buckets.pop(key, None)
-        if found is None:
-            if len(self._buckets) >= self._most:
+    def _bucket(self, key: tuple[str, str, ResponseKind], now: int) -> _Bucket:
+        bucket = self._buckets.pop(key, None)
+        if bucket is None:
+            if len(self._buckets) >= self._max_buckets:
                 oldest = next(iter(self._buckets))
-                if self._buckets[oldest].at > now - IDLE:
-                    return self._rest
+                if self._buckets[oldest].updated > now - REFILLED_AFTER:
+                    return self._overflow
                 del self._buckets[oldest]
-            found = _Bucket(key[2].value, now)
-        self._buckets[key] = found  # at the end: the first is the one that was used longest ago
-        return found
+            bucket = _Bucket(key[2].value, now)
+        self._buckets[key] = bucket  # moved to the end: the first one is the least recently used
+        return bucket
+
 
+def client_prefix(address: str) -> str:
+    """Returns the network that shares a bucket: a /24 of IPv4 or a /56 of IPv6.
 
-def prefix(address: str) -> str:
-    """The network that shares a bucket: a /24, or a /56 of IPv6, as whoever holds one can use all of it."""
+    A client that holds such a network can send from all its addresses.
+    """
     if ":" in address:
         from ipaddress import IPv6Address
 
--- a/rushladder/dnsfront/resolver_demand.py
+++ b/rushladder/dnsfront/resolver_demand.py
@@ -1,9 +1,10 @@
-"""Who asks, and how much each brings: a resolver asks once for thousands of txns. Free of I/O.
+"""Estimates how many txns each resolver brings, without I/O: one query may stand for thousands of them.
 
-Two things tell. How soon a resolver asks again once its answer ran out: with txns at random, the mean wait is
-one over their rate. And what the servers say they get: each asker's estimate is corrected by how far the
-servers that it was given are over or under what was expected of them, a little each period (the
-multiplicative algebraic reconstruction of Gordon, Bender and Herman, used for traffic matrices too).
+There are two sources. The first is how soon a resolver queries again after its answer expired: if txns arrive
+at random, the mean wait is the reciprocal of their rate. The second is the load that servers report: in each
+period a resolver's estimate is corrected in part by the ratio of measured to expected load at the servers
+that it was given (the multiplicative algebraic reconstruction of Gordon, Bender and Herman, which is used for
+traffic matrices too).
 """
 
 from __future__ import annotations
@@ -14,125 +15,144 @@
 
 import attrs
 
-SECOND = 10_000
-MOST = 4096  # askers of a pool that are told apart: beyond, the one that was silent longest is forgotten
-LEARNS = 0.1  # of a wait after an answer's end: ten of them, as waits are at random
-PULL = 0.05  # of the way to what the waits tell, at each: where no load is measured, that is all there is
-GAIN = 0.3  # of what is over or under, a period
-FADES = (
-    0.1  # a period, of what is averaged: 10 s, over which reports that are late by one or two hardly matter
-)
-CORRECTED = 256  # of a pool, those who bring most: the others' errors add up to little
-FAR = 16.0  # times, by which measured load may correct what the waits tell
-SHORTEST = 50.0  # 5 ms: below, a wait tells of the way, and of resolvers that ask ahead, not of the txns
-FIRM = 3  # waits after which an asker is known by them alone
-SILENT = 300_000  # 30 s: a resolver that was not heard for so long has no demand
-SLIGHT = 0.01  # of an asker's time: less at a server is not remembered
+SECOND = 10_000  # in tenths of a millisecond, the unit of all times here
+MAX_RESOLVERS = 4096  # tracked in a pool; beyond it the one that has been silent longest is evicted
+WAIT_SMOOTHING = 0.1  # weight of a new wait in the mean, over some ten of them, as single waits are random
+# Exponent of the correction towards the rate that the waits give, per wait. Without measured load it is the
+# only correction.
+WAIT_CORRECTION = 0.05
+LOAD_CORRECTION = 0.3  # exponent of the ratio of measured to expected load, per period
+USAGE_SMOOTHING = 0.1  # per period: means over 10 s, which reports late by a period or two hardly affect
+MAX_CORRECTED = 256  # resolvers of a pool corrected per period, by rate; the others' errors add up to little
+MAX_CORRECTION = 16.0  # factor by which measured load may move the rate from the one that the waits give
+MIN_WAIT = 50.0  # 5 ms; shorter waits show network delay and resolvers that prefetch, not the rate of txns
+MIN_WAITS = 3  # waits after which a resolver counts as identified without a proven address
+SILENT_AFTER = 300_000  # 30 s without a query after which a resolver has no demand
+MIN_USAGE = 0.01  # fraction of a resolver's time at a server below which it is not remembered
 
 
 @attrs.define(eq=False)
 class Resolver:
-    """One resolver's dealings with one pool. Times: tenths of a millisecond; rate: txns a second."""
+    """One resolver's use of one pool. Times are in tenths of a millisecond, the rate in txns a second."""
 
     source: str
-    proven: bool = False  # its address is its own: it returned a cookie, or came by TCP
+    proven: bool = False  # the address is not spoofed: the client returned a cookie, or used TCP
     queries: int = 0
     last_query: int = 0
-    waits: int = 0
+    wait_count: int = 0
     mean_wait: float = 0.0
     rate: float = 0.0
-    servers: Mapping[str, float] = attrs.field(factory=dict)  # and the part of its txns that each gets
-    since: int = 0  # up to when its use of them is counted
-    until: int = 0  # when its answer runs out
-    used: dict[str, float] = attrs.field(factory=dict)  # seconds at each server in this period
-    usual: dict[str, float] = attrs.field(factory=dict)  # part of its time at each, faded
-
-    def known(self) -> bool:
-        return self.proven or self.waits >= FIRM
-
-    def count(self, now: int) -> None:
-        """Adds the time for which its answer was kept since this was last called."""
-        span = (min(now, self.until) - self.since) / SECOND
+    servers: Mapping[str, float] = attrs.field(factory=dict)  # of its answer, with their fraction of txns
+    counted_until: int = 0  # time up to which the use of the servers is counted
+    expires: int = 0  # when its answer expires
+    usage: dict[str, float] = attrs.field(factory=dict)  # seconds at each server in this period
+    mean_usage: dict[str, float] = attrs.field(factory=dict)  # exponential mean of the usage
+
+    def identified(self) -> bool:
+        return self.proven or self.wait_count >= MIN_WAITS
+
+    def count_usage(self, now: int) -> None:
+        """Adds the time for which its answer has been cached since the last call."""
+        span = (min(now, self.expires) - self.counted_until) / SECOND
         if span > 0:
-            for name, part in self.servers.items():
-                self.used[name] = self.used.get(name, 0.0) + part * span
-        self.since = now
-
-    def waited(self, wait: float) -> None:
-        """It asked so long after its answer ran out."""
-        self.waits += 1
-        self.mean_wait += max(LEARNS, 1.0 / self.waits) * (max(SHORTEST, wait) - self.mean_wait)
-        told = SECOND / self.mean_wait
-        self.rate = told if self.waits <= FIRM else self.rate * (told / self.rate) ** PULL
-
-    def corrected(self, times: float) -> None:
-        told = SECOND / self.mean_wait
-        self.rate = min(FAR * told, max(told / FAR, self.rate * times**GAIN))
+            for name, fraction in self.servers.items():
+                self.usage[name] = self.usage.get(name, 0.0) + fraction * span
+        self.counted_until = now
+
+    def record_wait(self, wait: float) -> None:
+        """Records the time from the expiry of an answer to the next query, and updates the rate."""
+        self.wait_count += 1
+        self.mean_wait += max(WAIT_SMOOTHING, 1.0 / self.wait_count) * (max(MIN_WAIT, wait) - self.mean_wait)
+        wait_rate = SECOND / self.mean_wait
+        self.rate = (
+            wait_rate
+            if self.wait_count <= MIN_WAITS
+            else self.rate * (wait_rate / self.rate) ** WAIT_CORRECTION
+        )
+
+    def correct(self, ratio: float) -> None:
+        """Corrects the rate by the ratio of measured to expected load."""
+        wait_rate = SECOND / self.mean_wait
+        self.rate = min(
+            MAX_CORRECTION * wait_rate, max(wait_rate / MAX_CORRECTION, self.rate * ratio**LOAD_CORRECTION)
+        )
 
 
 class ResolverTable:
-    """Those of one pool, the one heard last at the end. Strangers have a table of their own, so that a flood
-    of made-up addresses pushes out nobody who is known."""
+    """The resolvers of one pool, least recently heard first.
+
+    Unidentified clients have a table of their own, so that a flood from spoofed addresses evicts no
+    identified resolver. demand: txns a second of all resolvers, as of the last period.
+    """
 
-    def __init__(self, by_load: bool = True, most: int = MOST, ceiling: float = math.inf) -> None:
-        """ceiling: txns a second that those who proved nothing are taken to bring together, at the most."""
-        self._by_load, self._most, self._ceiling = by_load, most, ceiling
-        self.known, self.strangers = dict[str, Resolver](), dict[str, Resolver]()
-        self.demand = 0.0  # txns a second of all, as of the last period
+    def __init__(
+        self, by_load: bool = True, max_resolvers: int = MAX_RESOLVERS, ceiling: float = math.inf
+    ) -> None:
+        """ceiling: the txns a second that all resolvers with unproven addresses may add to the demand."""
+        self._by_load, self._max_resolvers, self._ceiling = by_load, max_resolvers, ceiling
+        self.identified, self.unidentified = dict[str, Resolver](), dict[str, Resolver]()
+        self.demand = 0.0
 
     def record_query(self, source: str, now: int, proven: bool) -> Resolver:
-        """A question came. A wait counts only if the answer before it had run out."""
-        asker = self.known.pop(source, None) or self.strangers.pop(source, None) or Resolver(source)
-        if asker.until and asker.until <= now < asker.until + SILENT:
-            asker.waited(float(now - asker.until))
-        asker.queries, asker.last_query, asker.proven = asker.queries + 1, now, asker.proven or proven
-        table = self.known if asker.known() else self.strangers
-        table[source] = asker
-        if len(table) > (self._most if asker.known() else self._most // 4):
-            del table[next(iter(table))]  # the one that was silent longest
-        return asker
+        """Records a query. The wait before it counts only if the resolver's previous answer had expired."""
+        resolver = (
+            self.identified.pop(source, None) or self.unidentified.pop(source, None) or Resolver(source)
+        )
+        if resolver.expires and resolver.expires <= now < resolver.expires + SILENT_AFTER:
+            resolver.record_wait(float(now - resolver.expires))
+        resolver.queries, resolver.last_query, resolver.proven = (
+            resolver.queries + 1,
+            now,
+            resolver.proven or proven,
+        )
+        table = self.identified if resolver.identified() else self.unidentified
+        table[source] = resolver
+        if len(table) > (self._max_resolvers if resolver.identified() else self._max_resolvers // 4):
+            del table[next(iter(table))]  # the one that has been silent longest
+        return resolver
 
     def all(self) -> list[Resolver]:
-        return [*self.known.values(), *self.strangers.values()]
+        return [*self.identified.values(), *self.unidentified.values()]
 
     def find(self, source: str) -> Resolver | None:
-        return self.known.get(source) or self.strangers.get(source)
+        return self.identified.get(source) or self.unidentified.get(source)
 
-    def record_answer(self, asker: Resolver, servers: Mapping[str, float], ttl: int, now: int) -> None:
-        asker.count(now)
-        asker.servers, asker.since, asker.until = servers, now, now + ttl * SECOND
+    def record_answer(self, resolver: Resolver, servers: Mapping[str, float], ttl: int, now: int) -> None:
+        """Records the servers of an answer, with the fraction of the resolver's txns that each gets."""
+        resolver.count_usage(now)
+        resolver.servers, resolver.counted_until, resolver.expires = servers, now, now + ttl * SECOND
 
-    def estimated_load(self, asker: Resolver) -> float:
-        """The txns a second that it is taken to bring; what a newcomer brings is the middle of the others."""
+    def estimated_load(self, resolver: Resolver) -> float:
+        """Returns the txns a second that a resolver is estimated to bring; for a new one, the mean of all."""
         if not self._by_load:
             return 1.0
-        return asker.rate or (self.demand / max(1, len(self.known)) if self.demand else 1.0)
+        return resolver.rate or (self.demand / max(1, len(self.identified)) if self.demand else 1.0)
 
     def end_period(self, now: int, span: float = 1.0) -> dict[str, float]:
-        """Once a period, of `span` seconds: the txns a second that are expected at each server."""
-        expected, proven, others = dict[str, float](), 0.0, 0.0
-        for asker in self.all():
-            asker.count(now)
-            for name in {*asker.usual, *asker.used}:
-                part = asker.usual.get(name, 0.0)
-                part += FADES * (asker.used.get(name, 0.0) / span - part)
-                if part >= FADES * SLIGHT:
-                    asker.usual[name] = part
-                    expected[name] = expected.get(name, 0.0) + part * asker.rate
+        """Ends a period of `span` seconds and returns the txns a second that are expected at each server."""
+        expected, proven, unproven = dict[str, float](), 0.0, 0.0
+        for resolver in self.all():
+            resolver.count_usage(now)
+            for name in {*resolver.mean_usage, *resolver.usage}:
+                usage = resolver.mean_usage.get(name, 0.0)
+                usage += USAGE_SMOOTHING * (resolver.usage.get(name, 0.0) / span - usage)
+                if usage >= USAGE_SMOOTHING * MIN_USAGE:
+                    resolver.mean_usage[name] = usage
+                    expected[name] = expected.get(name, 0.0) + usage * resolver.rate
                 else:
-                    asker.usual.pop(name, None)
-            asker.used.clear()
-            if now - asker.last_query < SILENT and asker.proven:
-                proven += asker.rate
-            elif now - asker.last_query < SILENT:
-                others += asker.rate
-        self.demand = proven + min(others, self._ceiling)
+                    resolver.mean_usage.pop(name, None)
+            resolver.usage.clear()
+            if now - resolver.last_query < SILENT_AFTER and resolver.proven:
+                proven += resolver.rate
+            elif now - resolver.last_query < SILENT_AFTER:
+                unproven += resolver.rate
+        self.demand = proven + min(unproven, self._ceiling)
         return expected
 
     def correct(self, ratios: Mapping[str, float]) -> None:
-        """ratios: what servers get of DNS clients over what was expected there, where it is known."""
-        for asker in heapq.nlargest(CORRECTED, self.known.values(), key=lambda one: one.rate):
-            some = {name: part for name, part in asker.usual.items() if name in ratios}
-            whole = sum(some.values())
-            if asker.rate and whole:
-                asker.corrected(sum(part * ratios[name] for name, part in some.items()) / whole)
+        """Corrects the rates. ratios: measured over expected load of DNS clients, by server where known."""
+        for resolver in heapq.nlargest(MAX_CORRECTED, self.identified.values(), key=lambda one: one.rate):
+            usage = {name: fraction for name, fraction in resolver.mean_usage.items() if name in ratios}
+            total = sum(usage.values())
+            if resolver.rate and total:
+                resolver.correct(sum(fraction * ratios[name] for name, fraction in usage.items()) / total)
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -633,7 +633,7 @@
                 asker.queries,
                 f"{pool.resolvers.estimated_load(asker):.2f}",
                 f"{TENTHS_PER_SECOND / asker.mean_wait if asker.mean_wait else 0:.2f}",
-                int(asker.known()),
+                int(asker.identified()),
                 f"{(now - asker.last_query) / TENTHS_PER_SECOND:.1f}",
                 " ".join(asker.servers),
             ]
