--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -648,10 +648,10 @@
         if front is None:
             raise CommandRefused("No zone is configured.")
         text = "".join(f"{outcome.name}: {count}\n" for outcome, count in front.counts.items())
-        text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
+        text += f"ttl: {front.ttl_policy.normal}\nbuckets: {len(front.rate_limiter)}\n"
         rows = list[list[object]]()
         for (product, region), pool in front.pools.items():
-            for server, share in pool.split.shares.items():
+            for server, share in pool.selector.shares.items():
                 rows.append(
                     [
                         product,
@@ -659,8 +659,8 @@
                         server,
                         f"{share.weight:g}",
                         int(share.cold),
-                        f"{pool.split.allowance(server):.2f}",
-                        f"{pool.split.standing.get(server, 0.0):.2f}",
+                        f"{pool.selector.allowance(server):.2f}",
+                        f"{pool.selector.cached_load.get(server, 0.0):.2f}",
                     ]
                 )
         return text + format_csv(
@@ -676,17 +676,17 @@
                 product,
                 region,
                 resolver.source,
-                resolver.asked,
-                f"{pool.askers.volume(resolver):.2f}",
-                f"{TENTHS_PER_SECOND / resolver.wait if resolver.wait else 0:.2f}",
-                int(resolver.known()),
-                f"{(now - resolver.last) / TENTHS_PER_SECOND:.1f}",
+                resolver.queries,
+                f"{pool.resolvers.estimated_load(resolver):.2f}",
+                f"{TENTHS_PER_SECOND / resolver.mean_wait if resolver.mean_wait else 0:.2f}",
+                int(resolver.identified()),
+                f"{(now - resolver.last_query) / TENTHS_PER_SECOND:.1f}",
                 " ".join(resolver.servers),
             ]
             for (product, region), pool in front.pools.items()
-            for resolver in sorted(pool.askers.all(), key=lambda asker: -pool.askers.volume(asker))[
-                :MAX_RESOLVERS_SHOWN
-            ]
+            for resolver in sorted(
+                pool.resolvers.all(), key=lambda resolver: -pool.resolvers.estimated_load(resolver)
+            )[:MAX_RESOLVERS_SHOWN]
         ]
         return format_csv(
             ("pxname", "region", "resolver", "asked", "txns_s", "by_waits", "known", "age_s", "servers"), rows
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -16,7 +16,7 @@
 from rushladder.core.host import Core
 from rushladder.core.roster import Roster
 from rushladder.core.traffic import TrafficSums
-from rushladder.dnsfront.front import Front
+from rushladder.dnsfront.responder import DnsResponder
 from rushladder.gateways.driver import DriverTimes, GatewayDriver, Log
 from rushladder.gateways.election import HolderElection, HolderState, lease_and_settle_times
 from rushladder.guard.waves import Effect
@@ -174,7 +174,7 @@
         self._by_gateway: dict[Gateway, GatewayOwner] = {driver.gateway: driver for driver in self.drivers}
         self.dns = self._build_dns_front(wall)
         if self.dns is not None:
-            self._by_gateway |= {seat.gateway: seat for seat in self.dns.seats}
+            self._by_gateway |= {seat.gateway: seat for seat in self.dns.virtual_gateways}
         if memory is not None:
             memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.desk)
@@ -280,11 +280,11 @@
             self.stop()
             self.on_replaced()
 
-    def _build_dns_front(self, wall: Callable[[], float]) -> Front | None:
+    def _build_dns_front(self, wall: Callable[[], float]) -> DnsResponder | None:
         config = self.config
         if config.dns is None:
             return None
-        return Front(
+        return DnsResponder(
             # Without a shared secret, each manager accepts only the DNS cookies that it issued itself.
             attrs.evolve(config.dns, secret=config.dns.secret or secrets.token_bytes(16)),
             config.identity.name,
@@ -304,7 +304,7 @@
         if self.dns is None:
             return []
         try:
-            return self.dns.period(self.desk.rates(clock_tenths(self.clock)))
+            return self.dns.end_period(self.desk.rates(clock_tenths(self.clock)))
         except Exception as error:
             self.record_error(f"the DNS front's period failed: {type(error).__name__}: {error}")
             return []
@@ -368,7 +368,7 @@
             )
             self._update_report_senders()
             if self.dns is not None:
-                self.dns.listing()
+                self.dns.list_changed()
             self.handle_events(event)
             if self.memory is not None:
                 self.memory.store_list(self.roster, clock_tenths(self.clock))
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -14,8 +14,7 @@
 from rushladder.catalog.client import CONNECT_TIMEOUT_SECONDS
 from rushladder.conf.grammar import Address
 from rushladder.conf.objects import GatewayConfig, ManagerConfig
-from rushladder.dnsfront.ports import Datagrams as DnsDatagrams
-from rushladder.dnsfront.ports import Streams as DnsStreams
+from rushladder.dnsfront.transports import DnsDatagramProtocol, DnsStreamFactory
 from rushladder.intake.agent import AgentStatus
 from rushladder.intake.ports import AgentCheck, ReportStreams
 from rushladder.intake.receiver import ReceiverSupervisor, bind_report_socket
@@ -164,10 +163,13 @@
         if self._config.dns is not None and self.manager.dns is not None:
             address, front = self._config.dns.address, self.manager.dns
             port = reactor.listenUDP(
-                address.port, DnsDatagrams(front), interface=address.host, maxPacketSize=MAX_DNS_QUERY_BYTES
+                address.port,
+                DnsDatagramProtocol(front),
+                interface=address.host,
+                maxPacketSize=MAX_DNS_QUERY_BYTES,
             )
             port.maxThroughput = UDP_READ_BUDGET
-            await server_endpoint(address).listen(DnsStreams(front, reactor))
+            await server_endpoint(address).listen(DnsStreamFactory(front, reactor))
         for transport, address in self._config.report_listeners:
             if transport == "udp":
                 receiver = ReceiverSupervisor(
