--- a/rushladder/conf/grammar.py
+++ b/rushladder/conf/grammar.py
@@ -114,15 +114,14 @@
             errors.append(Diagnostic(file, line_number, str(error)))
 
 
-# Value parsers. Each takes a word and returns the value, or raises InvalidValue saying what is allowed.
+# Value parsers. Each takes a word and returns the value, or raises InvalidValue saying what is allowed. The
+# runtime API sends the texts of name, duration, number and inet as answers, so they must not change.
 
 
 def name(word: str) -> str:
     """Parses a name of a section or of something it refers to."""
     if not re.fullmatch(r"[A-Za-z0-9_.:\-]{1,64}", word):
-        raise InvalidValue(
-            f"'{word[:80]}' is not a valid name; 1 to 64 letters, digits and _ . : - are allowed"
-        )
+        raise InvalidValue(f"'{word[:80]}' is no name; 1 to 64 letters, digits and _ . : - are allowed")
     return word
 
 
@@ -137,7 +136,7 @@
     match = re.fullmatch(r"(\d+(?:\.\d+)?)(us|ms|s|m|h)", word)
     if not match or float(match[1]) * UNIT_FACTORS[match[2]] > 24 * UNIT_FACTORS["h"]:
         raise InvalidValue(
-            f"'{word}' is not a valid time; a number and its unit (us, ms, s, m, h) up to 24h is allowed"
+            f"'{word}' is no time; a number and its unit (us, ms, s, m, h) up to 24h is allowed"
         )
     return round(float(match[1]) * UNIT_FACTORS[match[2]])
 
@@ -163,7 +162,7 @@
         if not re.fullmatch(r"\d{1,9}(\.\d{1,9})?", digits) or not minimum <= float(digits) <= maximum:
             raise InvalidValue(
                 f"'{word}' is out of range; a number from {minimum:g} to {maximum:g}"
-                + (f", followed by '{suffix}'," if suffix else "")
+                + (f", with '{suffix}' behind it," if suffix else "")
                 + " is allowed"
             )
         return float(digits)
@@ -259,6 +258,6 @@
     if match and 0 < int(match[2]) < 65_536 and all(int(b) < 256 for b in match[1].split(".") if b.isdigit()):
         return Address(host=match[1].strip("[]"), port=int(match[2]))
     raise InvalidValue(
-        f"'{word}' is no address; ADDRESS:PORT, or unix@PATH of up to 100 bytes where a UNIX "
-        "socket can be used, is allowed"
+        f"'{word}' is no address; ADDRESS:PORT, or unix@PATH of up to 100 bytes where a UNIX socket "
+        "will do, is allowed"
     )
--- a/rushladder/runtime/endpoint.py
+++ b/rushladder/runtime/endpoint.py
@@ -156,7 +156,7 @@
             item = self._queue.popleft()
             if isinstance(item, Overlong):
                 self._on_error(f"a {item.what} over {item.limit} bytes")
-                self._answer(f"The {item.what} is over {item.limit} bytes and was ignored.\n")
+                self._answer(f"The {item.what} is over {item.limit} bytes and was passed over.\n")
                 continue
             self._busy = True
             self._execute(item).addCallback(self._finish_command)
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -271,7 +271,7 @@
                 self._journal.cancel(name)
                 memory.writer.put(Kind.COMMAND, name, None)
                 raise CommandRefused(
-                    "Not carried out: it could not be recorded, the disk fails or is slow."
+                    "Not carried out: it could not be noted, the disk fails or is slow."
                 ) from None
         try:
             answer = spec.run(inner, level)
@@ -285,7 +285,7 @@
                 await self._make_durable(name)
             except TimedOut:
                 raise CommandRefused(
-                    f"Carried out, but not recorded, as the disk fails or is slow: {answer}"
+                    f"Carried out, but not noted, as the disk fails or is slow: {answer}"
                 ) from None
         return answer
 
--- a/rushladder/store/commands.py
+++ b/rushladder/store/commands.py
@@ -56,12 +56,15 @@
 
 
 class Effect(Enum):
-    """What to do with a request. The value completes the message "Not carried out: ..."."""
+    """What to do with a request.
+
+    The last three values complete the answer "Not carried out: ...", which scripts read.
+    """
 
     RUN = "journal the command, run it, journal its answer"
     ANSWER = "reply with the journalled answer"
-    WAIT = "the command is still running"
-    UNKNOWN = "it is unknown whether the command ran before the manager restarted"
+    WAIT = "it is being carried out"
+    UNKNOWN = "it is not known whether it ran"
     REFUSE = "the id is taken by another command"
 
 
--- a/rushladder/store/frames.py
+++ b/rushladder/store/frames.py
@@ -72,24 +72,27 @@
 
 
 def _decode_frame(data: bytes, offset: int) -> tuple[Record, int] | str:
-    """The record at an offset and the offset of the next one, or the reason why there is no valid record."""
+    """The record at an offset and the offset of the next one, or the reason why there is no valid record.
+
+    `show store` prints the reasons, so their texts are part of the runtime API.
+    """
     if len(data) - offset < FRAME_HEADER.size:
-        return "torn: the file ends within a frame header"
+        return "torn: the end of the file in a head"
     magic, length, crc = FRAME_HEADER.unpack_from(data, offset)
     if magic != MAGIC:
-        return "no magic number"
+        return "no mark"
     if not BODY_HEADER.size <= length <= MAX_BODY_BYTES:
-        return f"invalid length {length}"
+        return f"a length of {length}"
     start = offset + FRAME_HEADER.size
     if start + length > len(data):
-        return "torn: the file ends within a frame body"
+        return "torn: the end of the file in a body"
     if google_crc32c.value(data[offset + 4 : offset + 8] + data[start : start + length]) != crc:
-        return "the body has another checksum"
+        return "another checksum"
     number, kind, minor, flags, key_length = BODY_HEADER.unpack_from(data, start)
     key_start = start + BODY_HEADER.size
     try:
         key = data[key_start : key_start + key_length].decode()
     except UnicodeDecodeError:
-        return "the key is not valid UTF-8"
+        return "a key that is no text"
     payload = None if flags & DELETED else data[key_start + key_length : start + length]
     return Record(number, kind, minor, key, payload), start + length
--- a/rushladder/store/log.py
+++ b/rushladder/store/log.py
@@ -45,13 +45,16 @@
 
 
 class FileState(Enum):
-    """The condition of a file. Names and values are shown to operators and used in file names."""
+    """The condition of a file.
+
+    `show store` and `rushladder store` print the values. The names are used in the names of files set aside.
+    """
 
     WHOLE = "whole"
     TORN = "torn at its end"
     DAMAGED = "damaged"
     HEADLESS = "without a header"
-    HALF = "an incomplete snapshot"
+    HALF = "a snapshot that is not whole"
 
 
 # States of files that are set aside once their intact records are in a new snapshot. A torn end is not among
@@ -99,14 +102,14 @@
     if header is None and not records and all(part.reason.startswith("torn") for part in damage):
         return StoreFile(name, FileState.TORN, (), 0, 0, len(data))  # created, but its header was not synced
     if header is None:
-        return StoreFile(name, FileState.HEADLESS, (), 0, 0, len(data), "its first frame is not a header")
+        return StoreFile(name, FileState.HEADLESS, (), 0, 0, len(data), "its first frame is no header")
     why = "; ".join(f"{part.size} bytes at {part.offset}: {part.reason}" for part in damage[:3])
     records = records[1:]
     state = FileState.WHOLE
     if name.startswith("snap-"):
         if damage or not records or not _is_footer(records[-1], len(records) - 1):
             state = FileState.HALF
-            why = why or "its last frame is not a footer with the right count"
+            why = why or "its last frame is no footer"
         records = records[:-1]
     elif damage:
         last = damage[-1]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -98,7 +98,7 @@
         folder._files[name].data = data.replace(encode_frame(Record(2, 1, 0, "k1", b"value")), b"x" * 30)
         reopened = new_log(folder)
         offset = data.find(b"k1") - FRAME_HEADER.size - BODY_HEADER.size
-        self.assertEqual(reopened.open().damage, [f"{name}: damaged: 30 bytes at {offset}: no magic number"])
+        self.assertEqual(reopened.open().damage, [f"{name}: damaged: 30 bytes at {offset}: no mark"])
         self.assertEqual(set(reopened.state), {(1, "k0"), (1, "k2")})
         self.assertTrue(next(file for file in folder.names() if file.startswith("aside-")).endswith(name))
 
