--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -46,8 +46,8 @@
 class Plain(protocol.DatagramProtocol):
     """The plain way: datagrams are read where the manager runs."""
 
-    def __init__(self, desk: ReportProcessor) -> None:
-        self._desk, self._gathering = desk, DatagramBuffer(frozenset(desk.addresses()))
+    def __init__(self, processor: ReportProcessor) -> None:
+        self._processor, self._gathering = processor, DatagramBuffer(frozenset(processor.addresses()))
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         if not self._gathering:
@@ -56,7 +56,7 @@
 
     def _give(self) -> None:
         senders = [Sender(address=a, passed_over=p, reports=r) for a, p, r in self._gathering.take()]
-        process_batch(self._desk, Batch(senders=senders), int(10_000 * reactor.seconds()))
+        process_batch(self._processor, Batch(senders=senders), int(10_000 * reactor.seconds()))
 
 
 def report(k: int, number: int, uptime: float) -> bytes:
@@ -142,22 +142,24 @@
 def listen(manager: Manager, tcp: bool, plain: bool) -> int:
     """Listens for reports in one of the three ways, and returns the port."""
     if tcp:
-        streams = reactor.listenTCP(0, ReportStreams(manager.desk, reactor), interface="127.0.0.1")
+        streams = reactor.listenTCP(
+            0, ReportStreams(manager.report_processor, reactor), interface="127.0.0.1"
+        )
         return int(streams.getHost().port)
     door = bind_report_socket(Address(host="127.0.0.1", port=0))
     if plain:
-        port = reactor.adoptDatagramPort(door.fileno(), socket.AF_INET, Plain(manager.desk))
+        port = reactor.adoptDatagramPort(door.fileno(), socket.AF_INET, Plain(manager.report_processor))
         port.maxThroughput = UDP_READ_BUDGET
     else:
-        keeper = ReceiverSupervisor(manager.desk, door, print)
+        keeper = ReceiverSupervisor(manager.report_processor, door, print)
         reactor.callWhenRunning(keeper.start)
         reactor.addSystemEventTrigger("before", "shutdown", keeper.stop)
-        manager.lanes.append(keeper)
+        manager.report_receivers.append(keeper)
     return int(door.getsockname()[1])
 
 
 def measure(rate: int, seconds: float, tcp: bool, plain: bool, turns: int, manager: Manager) -> None:
-    desk, port = manager.desk, listen(manager, tcp, plain)
+    processor, port = manager.report_processor, listen(manager, tcp, plain)
     late = {phase: list[tuple[float, float]]() for phase in ("settling", "quiet", "flood")}
     cpu, phase, memory = dict.fromkeys(late, 0.0), ["settling"], list[int]()
     draw = Random(1).random
@@ -196,13 +198,13 @@
     # The manager steers all the while: what that costs is taken off by the quiet parts' own measure.
     spent, flooded = cpu["flood"] - cpu["quiet"], turns * seconds
     sent = sum(int(process.communicate()[0] or 0) for process in floods)
-    came = sum(desk.counts.values())
+    came = sum(processor.counts.values())
     p99 = {
         (name, which): sorted(pair[which] for pair in pairs)[int(0.99 * (len(pairs) - 1))]
         for name, pairs in late.items()
         for which in (0, 1)
     }
-    read = desk.counts[ReportOutcome.TAKEN] + desk.counts[ReportOutcome.LATE]
+    read = processor.counts[ReportOutcome.TAKEN] + processor.counts[ReportOutcome.LATE]
     figures = (
         sent / flooded,
         came / flooded,
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -574,8 +574,8 @@
     # Load reports.
 
     def load(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
-        if len(words) > 2 and words[2] not in desk.senders:
+        processor, now = self._manager.report_processor, clock_tenths(self._manager.clock)
+        if len(words) > 2 and words[2] not in processor.senders:
             raise CommandRefused("No such server that reports.")
         rows = [
             [
@@ -583,23 +583,23 @@
                 f"{sender.reading.value():.3f}",
                 f"{(now - sender.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
                 f"{sender.reading.freshness(now):.2f}",
-                f"{desk.hints.worth(name):.2f}",
-                f"{desk.current_hints.get(name, 1.0):.3f}",
+                f"{processor.hints.worth(name):.2f}",
+                f"{processor.current_hints.get(name, 1.0):.3f}",
                 sender.reading.boot,
                 sender.reading.newest,
                 sender.agent.why if sender.agent else "",
             ]
-            for name, sender in desk.senders.items()
+            for name, sender in processor.senders.items()
             if sender.reading.boot >= 0 and words[2:3] in ((), (name,))
         ]
         return format_csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
-        desk, now = self._manager.desk, clock_tenths(self._manager.clock)
-        loads, ages = desk.distributions(now)
-        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in desk.counts.items())
+        processor, now = self._manager.report_processor, clock_tenths(self._manager.clock)
+        loads, ages = processor.distributions(now)
+        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in processor.counts.items())
         text += "".join(
-            f"Lane: {receiver.pid} started {receiver.starts}\n" for receiver in self._manager.lanes
+            f"Lane: {receiver.pid} started {receiver.starts}\n" for receiver in self._manager.report_receivers
         )
         for quantity, sketch in (("load", loads), ("age_s", ages)):
             text += "".join(
@@ -608,7 +608,7 @@
             )
         return text + "".join(
             f"heavy: {sender} {count} dropped, over by {over} at most\n"
-            for sender, count, over in desk.limits.heavy.top(5)
+            for sender, count, over in processor.limits.heavy.top(5)
         )
 
     def store(self, words: tuple[str, ...]) -> str:
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -125,7 +125,10 @@
                 listed.limit, listed.connections = collector.limit, collector.connections
         self.saved_version = self.roster.version
         self.reports, self.peer_senders = TrafficSums(), deque[PeerSender](maxlen=1)
-        self.desk, self.lanes = ReportProcessor(now, blind=config.trust_reports), list[ReportReceiver]()
+        self.report_processor, self.report_receivers = (
+            ReportProcessor(now, blind=config.trust_reports),
+            list[ReportReceiver](),
+        )
         self._update_report_senders()
         self.core = Core(
             config.identity.seed * 1000 + config.identity.number,
@@ -177,7 +180,7 @@
             self._by_gateway |= {seat.gateway: seat for seat in self.dns.virtual_gateways}
         if memory is not None:
             memory.restore_guard(self.core.table_guard, now)
-            memory.restore_trust(self.desk)
+            memory.restore_trust(self.report_processor)
             products = {product.name: product for product in config.products}
             self.core.take(now, memory.restore_learned(self.roster, products, now))
         self._wake_call: DelayedCall | None = None
@@ -260,7 +263,7 @@
             return
         try:
             learned, now = self.core.manager.learned_state(), clock_tenths(self.clock)
-            self.memory.store_period(learned, self.roster, self.core.table_guard, self.desk, now)
+            self.memory.store_period(learned, self.roster, self.core.table_guard, self.report_processor, now)
             for driver in self.drivers:
                 if driver.election.state is HolderState.HOLDING:
                     self.memory.store_epoch(driver.gateway.name, driver.election.epoch)
@@ -304,7 +307,7 @@
         if self.dns is None:
             return []
         try:
-            return self.dns.end_period(self.desk.rates(clock_tenths(self.clock)))
+            return self.dns.end_period(self.report_processor.rates(clock_tenths(self.clock)))
         except Exception as error:
             self.record_error(f"the DNS front's period failed: {type(error).__name__}: {error}")
             return []
@@ -312,13 +315,13 @@
     def _load_hints(self) -> dict[str, float]:
         """Returns the hints of servers' load reports, checked against latency; empty if no server reports."""
         now = clock_tenths(self.clock)
-        if not self.desk.senders:
+        if not self.report_processor.senders:
             return {}
         totals = {name: listed.server.recent_totals(now, 4) for name, listed in self.roster.listed.items()}
         settled, time = (sum(sums[k] for sums in totals.values()) for k in (2, 3))
         mean = time / settled if settled else 0.0
         latency = {name: sums[3] / sums[2] / mean for name, sums in totals.items() if sums[2] >= 5 and mean}
-        return self.desk.update_hints(latency, now)
+        return self.report_processor.update_hints(latency, now)
 
     def _update_report_senders(self) -> None:
         """Updates the permitted senders of load reports from the list and the configuration."""
@@ -327,12 +330,14 @@
             for collector in self.config.collectors
             if collector.reports_from or collector.agent
         }
-        for name in [name for name in self.desk.senders if name not in self.roster.listed]:
-            self.desk.forget(name)
+        for name in [name for name in self.report_processor.senders if name not in self.roster.listed]:
+            self.report_processor.forget(name)
         for name, collector in collectors.items():
             if name in self.roster.listed:
-                self.desk.register(name, collector.reports_from or f"agent of {name}", collector.token)
-        for receiver in self.lanes:
+                self.report_processor.register(
+                    name, collector.reports_from or f"agent of {name}", collector.token
+                )
+        for receiver in self.report_receivers:
             receiver.listed()
 
     def _start_probe(self, server: Server) -> None:
--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -144,13 +144,13 @@
         table_guard.history.restore(versions, current, refused)
         self._stored_refusals = table_guard.history.refusal_count
 
-    def restore_trust(self, desk: ReportProcessor) -> None:
+    def restore_trust(self, processor: ReportProcessor) -> None:
         """Restores how far each server's load reports are trusted."""
         wall = self.now()
         for name, memory in self._records_of(Kind.TRUST, TrustMemory):
-            found = recall_trust(memory, desk.hints.prior, wall)
-            if found is not None and name in desk.senders:
-                desk.hints.restore(name, *found)
+            found = recall_trust(memory, processor.hints.prior, wall)
+            if found is not None and name in processor.senders:
+                processor.hints.restore(name, *found)
 
     # Writing to the store.
 
@@ -199,7 +199,7 @@
         learned: LearnedState[Any],
         roster: Roster,
         table_guard: TableGuard,
-        desk: ReportProcessor,
+        processor: ReportProcessor,
         now: int,
     ) -> None:
         """Once per control period: records what has changed enough since its last record."""
@@ -225,14 +225,14 @@
         if self._period_count % DEMAND_RECORD_PERIODS == 0 and learned.calm_latency:
             mix = {product.name: part for product, part in learned.mix.items()}
             self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.calm_latency / PER_MS, mix=mix))
-            self._store_trust(desk, wall)
+            self._store_trust(processor, wall)
         self.store_guard(table_guard)
         self.store_list(roster, now)
         for name in self.journal.expire(wall):
             self.writer.put(Kind.COMMAND, name, None)
 
-    def _store_trust(self, desk: ReportProcessor, wall: int) -> None:
-        found = desk.hints.trust_sums()
+    def _store_trust(self, processor: ReportProcessor, wall: int) -> None:
+        found = processor.hints.trust_sums()
         for name, sums in found.items():
             previous = self._stored_trust.get(name)
             if previous is None or max(abs(a - b) for a, b in zip(previous, sums, strict=True)) > 0.02:
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -173,12 +173,12 @@
         for transport, address in self._config.report_listeners:
             if transport == "udp":
                 receiver = ReceiverSupervisor(
-                    self.manager.desk, bind_report_socket(address), self.manager.record_error
+                    self.manager.report_processor, bind_report_socket(address), self.manager.record_error
                 )
                 receiver.start()
-                self.manager.lanes.append(receiver)
+                self.manager.report_receivers.append(receiver)
             else:
-                await server_endpoint(address).listen(ReportStreams(self.manager.desk, reactor))
+                await server_endpoint(address).listen(ReportStreams(self.manager.report_processor, reactor))
         for collector in self._config.collectors:
             if collector.agent is not None:
                 self._check_agent(collector.name, collector.agent)
@@ -202,7 +202,7 @@
         check = AgentCheck()
 
         def on_answer(answer: AgentStatus) -> None:
-            self.manager.desk.record_agent_check(name, answer, clock_tenths(reactor))
+            self.manager.report_processor.record_agent_check(name, answer, clock_tenths(reactor))
             state = AGENT_STATES.get(answer.admin or "")
             if state is not None and name in self.manager.roster.listed:
                 self.manager.apply_list_change(
@@ -218,7 +218,7 @@
 
     def stop(self) -> Deferred[None] | None:
         """Stops the manager. Returns a Deferred that fires once the store has written everything."""
-        for receiver in self.manager.lanes:
+        for receiver in self.manager.report_receivers:
             receiver.stop()
         self.manager.stop()
         memory = self.manager.memory
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -484,7 +484,7 @@
                 uptime=1000 * number,
                 report=OrcaLoadReport(application_utilization=load),
             )
-            self.managers["m0"].desk.report(
+            self.managers["m0"].report_processor.report(
                 f"127.0.1.{k}", envelope.SerializeToString(), clock_tenths(self.clock)
             )
 
@@ -497,13 +497,13 @@
         for number in range(1, 26):
             world.report(number, {0: 1.5, 1: 0.5, 2: 0.5, 3: 0.5})
             world.run(1, rate=20)
-        desk, stopped = world.managers["m0"].desk, world.clock.seconds()
-        self.assertLess(desk.current_hints["s0"], 0.6)
-        before, moves = desk.current_hints["s0"], list[float]()
+        processor, stopped = world.managers["m0"].report_processor, world.clock.seconds()
+        self.assertLess(processor.current_hints["s0"], 0.6)
+        before, moves = processor.current_hints["s0"], list[float]()
         for _ in range(30):
             world.run(1, rate=20)
-            moves.append(abs(desk.current_hints.get("s0", 1.0) - before))
-            before = desk.current_hints.get("s0", 1.0)
+            moves.append(abs(processor.current_hints.get("s0", 1.0) - before))
+            before = processor.current_hints.get("s0", 1.0)
         self.assertEqual(before, 1.0)
         self.assertLessEqual(max(moves), MAX_STEP + 1e-9)
         for name in world.sites:
