--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -80,12 +80,12 @@
     )
 
 
-def plain(front: DnsResponder) -> Callable[[PoolQuery, bool], Selection | None]:
+def plain(responder: DnsResponder) -> Callable[[PoolQuery, bool], Selection | None]:
     """One list, by chance, for everyone."""
     draw = Random(1).random
 
     def choose(asked: PoolQuery, weighed: bool) -> Selection | None:
-        pool = front.pools[asked.product, asked.region]
+        pool = responder.pools[asked.product, asked.region]
         chances = LinearChoice({name: target.weight for name, target in pool.targets.items()})
         names = dict.fromkeys(chances.draw(draw()) for _ in range(2))
         return Selection([pool.targets[name] for name in names], 2)
@@ -115,14 +115,14 @@
 
 
 def measure(rate: int, seconds: float, simple: bool, manager: Manager) -> None:
-    front = manager.dns
-    assert front is not None
+    responder = manager.dns
+    assert responder is not None
     if simple:
-        front._answer_builder._choose = plain(front)
-    port = reactor.listenUDP(0, DnsDatagramProtocol(front), interface="127.0.0.1")
+        responder._answer_builder._choose = plain(responder)
+    port = reactor.listenUDP(0, DnsDatagramProtocol(responder), interface="127.0.0.1")
     port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_000_000)
     marks, process, replans, held = list[float](), list[subprocess.Popen[str]](), list[float](), list[int]()
-    front.rate_limiter.take = lambda *_: next(iter(front.rate_limiter.counts))  # type: ignore[method-assign]
+    responder.rate_limiter.take = lambda *_: next(iter(responder.rate_limiter.counts))  # type: ignore[method-assign]
 
     def mark() -> None:
         marks.append(time.process_time())
@@ -135,12 +135,12 @@
         process.append(subprocess.Popen(command, stdout=subprocess.PIPE, text=True))
 
     def change() -> None:
-        """A plan's change, timed by itself: one server goes or comes, and both seats are planned anew."""
+        """A plan's change, timed by itself: one server goes or comes, and both regions are planned anew."""
         for turn in range(40):
             state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
             manager.roster.change("c5", clock_tenths(reactor), availability=state)
             began = time.process_time_ns()
-            front.list_changed()
+            responder.list_changed()
             replans.append((time.process_time_ns() - began) / 1e6)
 
     reactor.callWhenRunning(manager.start)
--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -39,9 +39,9 @@
 
 
 def one(data: bytes) -> None:
-    front = DnsFuzzTarget.responder()
+    responder = DnsFuzzTarget.responder()
     for tcp in (False, True):
-        answer = front.answer(data, "192.0.2.1", tcp)
+        answer = responder.answer(data, "192.0.2.1", tcp)
         if answer and (len(answer) > MAX_UDP_SIZE or not answer[2] & 0x80 or answer[:2] != data[:2]):
             raise AssertionError(f"{data!r} was answered {answer!r}")
     try:
@@ -49,7 +49,10 @@
     except codec.MalformedMessage as unreadable:
         if len(unreadable.reply) > 12:
             raise AssertionError(f"{data!r}: a refusal longer than a header") from None
-    if len(front.rate_limiter) > 8 or sum(len(pool.resolvers.all()) for pool in front.pools.values()) > 8:
+    if (
+        len(responder.rate_limiter) > 8
+        or sum(len(pool.resolvers.all()) for pool in responder.pools.values()) > 8
+    ):
         raise AssertionError("state grew with packets of one sender")
 
 
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -644,13 +644,13 @@
     # The DNS front.
 
     def dns(self, words: tuple[str, ...]) -> str:
-        front = self._manager.dns
-        if front is None:
+        responder = self._manager.dns
+        if responder is None:
             raise CommandRefused("No zone is configured.")
-        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in front.counts.items())
-        text += f"ttl: {front.ttl_policy.normal}\nbuckets: {len(front.rate_limiter)}\n"
+        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in responder.counts.items())
+        text += f"ttl: {responder.ttl_policy.normal}\nbuckets: {len(responder.rate_limiter)}\n"
         rows = list[list[object]]()
-        for (product, region), pool in front.pools.items():
+        for (product, region), pool in responder.pools.items():
             for server, share in pool.selector.shares.items():
                 rows.append(
                     [
@@ -668,8 +668,8 @@
         )
 
     def resolvers(self, words: tuple[str, ...]) -> str:
-        front, now = self._manager.dns, clock_tenths(self._manager.clock)
-        if front is None:
+        responder, now = self._manager.dns, clock_tenths(self._manager.clock)
+        if responder is None:
             raise CommandRefused("No zone is configured.")
         rows = [
             [
@@ -683,7 +683,7 @@
                 f"{(now - resolver.last_query) / TENTHS_PER_SECOND:.1f}",
                 " ".join(resolver.servers),
             ]
-            for (product, region), pool in front.pools.items()
+            for (product, region), pool in responder.pools.items()
             for resolver in sorted(
                 pool.resolvers.all(), key=lambda resolver: -pool.resolvers.estimated_load(resolver)
             )[:MAX_RESOLVERS_SHOWN]
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -175,9 +175,9 @@
             for gateway in config.gateways
         ]
         self._by_gateway: dict[Gateway, GatewayOwner] = {driver.gateway: driver for driver in self.drivers}
-        self.dns = self._build_dns_front(wall)
+        self.dns = self._build_dns_responder(wall)
         if self.dns is not None:
-            self._by_gateway |= {seat.gateway: seat for seat in self.dns.virtual_gateways}
+            self._by_gateway |= {virtual.gateway: virtual for virtual in self.dns.virtual_gateways}
         if memory is not None:
             memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.report_processor)
@@ -197,7 +197,7 @@
         self.handle_events()
 
     def stop(self) -> None:
-        """Stops all activity. Gateways keep using the tables that they times."""
+        """Stops all activity. Gateways keep using the tables that they hold."""
         if self._stopped:
             return
         self._stopped = True
@@ -283,7 +283,7 @@
             self.stop()
             self.on_replaced()
 
-    def _build_dns_front(self, wall: Callable[[], float]) -> DnsResponder | None:
+    def _build_dns_responder(self, wall: Callable[[], float]) -> DnsResponder | None:
         config = self.config
         if config.dns is None:
             return None
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -161,15 +161,15 @@
             )
             self.manager.peer_senders.append(link)
         if self._config.dns is not None and self.manager.dns is not None:
-            address, front = self._config.dns.address, self.manager.dns
+            address, responder = self._config.dns.address, self.manager.dns
             port = reactor.listenUDP(
                 address.port,
-                DnsDatagramProtocol(front),
+                DnsDatagramProtocol(responder),
                 interface=address.host,
                 maxPacketSize=MAX_DNS_QUERY_BYTES,
             )
             port.maxThroughput = UDP_READ_BUDGET
-            await server_endpoint(address).listen(DnsStreamFactory(front, reactor))
+            await server_endpoint(address).listen(DnsStreamFactory(responder, reactor))
         for transport, address in self._config.report_listeners:
             if transport == "udp":
                 receiver = ReceiverSupervisor(
