--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -11,18 +11,18 @@
 from rushladder.store.log import Log
 from rushladder.store.memory import DAY, MINORS, Kind
 from rushladder.store.store_pb2 import ServerMemory
-from tests.test_restarts import Remembered
+from tests.test_restarts import PersistentCluster
 
 SLOW, SERVERS = "s0", 8
 WATCHED = 40  # s after the start
 
 
-def part(world: Remembered) -> float:
+def part(world: PersistentCluster) -> float:
     parts = [world.usable_weights(site, product) for site in ("g0", "g2") for product in ("ask", "pay")]
     return sum(lines.get(SLOW, 0) / max(1, sum(lines.values())) for lines in parts) / len(parts)
 
 
-def mislead(world: Remembered) -> None:
+def mislead(world: PersistentCluster) -> None:
     """Of a day ago, the slow server fast and the others slow."""
     folder, at = Folder(), int(1000 * world.wall()) - DAY
     log = Log(folder, world.fleet, "m0", MINORS, wall=lambda: at)
@@ -39,7 +39,7 @@
     print("| memory | part before | off it, parts x s | settled after (s) |")
     print("| --- | --- | --- | --- |")
     for how in ("none", "kept", "a day old and wrong"):
-        world = Remembered(gateways=4, servers=SERVERS)
+        world = PersistentCluster(gateways=4, servers=SERVERS)
         world.service_time = {SLOW: 0.45}
         world.run(60, 20)
         before = part(world)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -159,7 +159,7 @@
         self.assertEqual(len(journal), 1)  # the command that is still running
 
 
-class Remembered(FakeCluster):
+class PersistentCluster(FakeCluster):
     """A cluster whose managers store their state on a simulated disk that can lose power."""
 
     def __init__(self, **extra: Any) -> None:
@@ -222,7 +222,7 @@
 
 class RestartTest(unittest.TestCase):
     def test_learned_speeds_are_used_from_the_first_table_on(self) -> None:
-        cluster = Remembered(servers=6)
+        cluster = PersistentCluster(servers=6)
         cluster.service_time = {"s0": 0.45, "s2": 0.15, "s4": 0.15}
         cluster.run(40, 20)
         before = cluster.usable_weights("g0", "ask")
@@ -234,7 +234,7 @@
         self.assertLess(abs(again["s0"] / sum(again.values()) - before["s0"] / sum(before.values())), 0.06)
 
     def test_state_stored_a_day_ago_has_no_effect(self) -> None:
-        cluster = Remembered(servers=6)
+        cluster = PersistentCluster(servers=6)
         cluster.service_time = {"s0": 0.45}
         cluster.run(40, 20)
         cluster.kill("m0")
@@ -244,7 +244,7 @@
         self.assertLess(manager.roster["s0"].server.report_count, 1)
 
     def test_after_a_clock_was_set_back_stored_state_is_ignored_without_harm(self) -> None:
-        cluster = Remembered(servers=6)
+        cluster = PersistentCluster(servers=6)
         cluster.service_time = {"s0": 0.45}
         cluster.run(30, 20)
         cluster.kill("m0")
@@ -255,7 +255,7 @@
         self.assertEqual(cluster.holder("g0"), "m0")
 
     def test_drains_persist_over_a_power_cut_and_are_sent_in_the_first_message(self) -> None:
-        cluster = Remembered()
+        cluster = PersistentCluster()
         cluster.run(12, 10)
         cluster.say("m0", "set server fleet/s0 state drain")
         cluster.run(0.1)
@@ -273,7 +273,7 @@
         self.assertLess(drained - wrote[0][0], 0.1)  # in the very first message
 
     def test_a_server_that_was_cold_is_still_cold_after_a_restart(self) -> None:
-        cluster = Remembered(servers=6)
+        cluster = PersistentCluster(servers=6)
         cluster.run(20, 10)
         cluster.say("m0", "set server fleet/s0 state maint")
         cluster.run(3, 10)
@@ -290,7 +290,7 @@
         self.assertLess(parts.get("s0", 0), 0.8 * max(parts.values()))
 
     def test_epochs_increase_even_if_gateway_and_disk_both_lost_them(self) -> None:
-        cluster = Remembered()
+        cluster = PersistentCluster()
         cluster.run(8, 5)
         before = cluster.managers["m0"].drivers[0].election.epoch
         cluster.kill("m0")
@@ -313,7 +313,7 @@
         self.assertFalse(old.core.sessions)
 
     def test_operators_factors_persist_over_a_restart_and_a_wave_is_taken_back(self) -> None:
-        cluster = Remembered(gateways=4, servers=8)
+        cluster = PersistentCluster(gateways=4, servers=8)
         cluster.run(12, 10)
         cluster.say("m0", "set weight ask/s0 90%")
         cluster.run(2, 10)
@@ -329,7 +329,7 @@
         self.assertIn("started anew", table_guard.history[wave.number].state)
 
     def test_a_command_with_an_id_takes_effect_once_over_a_power_cut(self) -> None:
-        cluster = Remembered()
+        cluster = PersistentCluster()
         cluster.run(10, 5)
         answer = cluster.say("m0", "once id-1 set weight ask/s0 95%")
         versions = len(cluster.managers["m0"].core.table_guard.history.all())
@@ -341,7 +341,7 @@
         self.assertIn("Commands_from_record: 1\n", cluster.say("m0", "show store"))
 
     def test_a_command_with_an_id_is_not_carried_out_while_the_disk_fails(self) -> None:
-        cluster = Remembered()
+        cluster = PersistentCluster()
         cluster.run(10, 5)
         cluster.folders["m0"].read_only = True
         self.assertIn("Not carried out", cluster.say("m0", "once id-2 set server fleet/s0 state drain"))
@@ -353,7 +353,7 @@
         self.assertNotIn("s0", cluster.usable_weights("g0", "ask"))
 
     def test_restarting_all_managers_at_once_stays_within_the_message_cap(self) -> None:
-        cluster = Remembered(gateways=4, managers=2, servers=6)
+        cluster = PersistentCluster(gateways=4, managers=2, servers=6)
         cluster.service_time = {"s0": 0.45, "s1": 0.45}
         cluster.run(30, 20)
         for name in ("m0", "m1"):
