--- a/rushladder/intake/limits.py
+++ b/rushladder/intake/limits.py
@@ -13,7 +13,7 @@
 
 from rushladder.structures.heavy_hitters import HeavyHitters
 
-TICKS_PER_SECOND = 10_000  # times are tenths of a millisecond
+TENTHS_PER_SECOND = 10_000  # times are tenths of a millisecond
 HEAVY_COUNTERS = 64  # counters for heavy senders; a count is too high by at most a 64th of the total
 
 
@@ -31,8 +31,8 @@
 
     def __init__(self, own: float, burst: int, all_: float) -> None:
         self._own_interval, self._total_interval, self._burst = (
-            TICKS_PER_SECOND / own,
-            TICKS_PER_SECOND / all_,
+            TENTHS_PER_SECOND / own,
+            TENTHS_PER_SECOND / all_,
             burst,
         )
         self._arrival_times = dict[str, float]()
@@ -47,8 +47,8 @@
 
     def admit(self, sender: str, now: int) -> RateVerdict:
         """Decides about a report of a known sender. Memory is bounded by the number of known senders."""
-        if now // TICKS_PER_SECOND != self._second:
-            self._start_second(now // TICKS_PER_SECOND)
+        if now // TENTHS_PER_SECOND != self._second:
+            self._start_second(now // TENTHS_PER_SECOND)
         self._senders.add(sender)
         interval = max(
             self._own_interval, self._total_interval * max(len(self._senders), self._previous_senders)
--- a/rushladder/intake/processor.py
+++ b/rushladder/intake/processor.py
@@ -15,7 +15,7 @@
 
 from rushladder.intake.agent import AgentStatus
 from rushladder.intake.hints import Hints
-from rushladder.intake.limits import TICKS_PER_SECOND, RateVerdict, ReportLimits
+from rushladder.intake.limits import TENTHS_PER_SECOND, RateVerdict, ReportLimits
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
 from rushladder.intake.readings import GONE_AFTER, Reading, ReadingOutcome
 from rushladder.structures.quantiles import QuantileSketch
@@ -190,7 +190,7 @@
         for sender in self.senders.values():
             if sender.reading.boot >= 0:
                 loads.add(sender.reading.value())
-                ages.add((now - sender.reading.last_heard) / TICKS_PER_SECOND)
+                ages.add((now - sender.reading.last_heard) / TENTHS_PER_SECOND)
         return loads, ages
 
 
