--- a/rushladder/cli/store.py
+++ b/rushladder/cli/store.py
@@ -72,7 +72,7 @@
             found = read_file(name, disk.read(name))
             if found.state not in (FileState.WHOLE, FileState.TORN):
                 damaged += 1
-                click.echo(f"{name}: {found.state.value}: {found.why}")
+                click.echo(f"{name}: {found.state.value}: {found.reason}")
     except OSError as error:
         return _fail("verify", directory, error)
     click.echo("damaged" if damaged else "whole")
--- a/rushladder/store/log.py
+++ b/rushladder/store/log.py
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class StoreFile:
-    """The contents of one file. first: the record number from its header; why: what is wrong with it."""
+    """The contents of one file. first: the record number from its header; reason: what is wrong with it."""
 
     name: str
     state: FileState
@@ -72,7 +72,7 @@
     first: int
     created: int
     bytes: int
-    why: str = ""
+    reason: str = ""
 
 
 @attrs.define
@@ -103,19 +103,19 @@
         return StoreFile(name, FileState.TORN, (), 0, 0, len(data))  # created, but its header was not synced
     if header is None:
         return StoreFile(name, FileState.HEADLESS, (), 0, 0, len(data), "its first frame is no header")
-    why = "; ".join(f"{part.size} bytes at {part.offset}: {part.reason}" for part in damage[:3])
+    reason = "; ".join(f"{part.size} bytes at {part.offset}: {part.reason}" for part in damage[:3])
     records = records[1:]
     state = FileState.WHOLE
     if name.startswith("snap-"):
         if damage or not records or not _is_footer(records[-1], len(records) - 1):
             state = FileState.HALF
-            why = why or "its last frame is no footer"
+            reason = reason or "its last frame is no footer"
         records = records[:-1]
     elif damage:
         last = damage[-1]
         torn = len(damage) == 1 and last.offset + last.size == len(data)
         state = FileState.TORN if torn else FileState.DAMAGED
-    return StoreFile(name, state, records, header.first, header.created, len(data), why)
+    return StoreFile(name, state, records, header.first, header.created, len(data), reason)
 
 
 def _header(records: Sequence[Record], damage: Sequence[Damage]) -> Header | None:
@@ -266,7 +266,7 @@
                     self.next_number = max(self.next_number, number + 1)
         opened.files_read = sorted(files)
         opened.damage = [
-            f"{file.name}: {file.state.value}: {file.why}" for file in files.values() if file.why
+            f"{file.name}: {file.state.value}: {file.reason}" for file in files.values() if file.reason
         ]
         opened.written_at = max((file.created for file in files.values()), default=0)
 
