--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -250,7 +250,7 @@
             raise CommandRefused(
                 f"once ID COMMAND...; an ID has 1 to {MAX_ID_LENGTH} letters, digits, and . : - _"
             )
-        name, inner = words[1], Command(words[2:], command.payload)
+        command_id, inner = words[1], Command(words[2:], command.payload)
         spec = self._commands.find(inner.words)
         text = " ".join(inner.words)
         if spec is None or len(text) > MAX_COMMAND_LENGTH:
@@ -259,17 +259,17 @@
             return "Permission denied\n"
         memory = self._manager.memory
         now = memory.now() if memory is not None else 0
-        effect = self._journal.begin(name, text, is_idempotent(spec.words), now)
+        effect = self._journal.begin(command_id, text, is_idempotent(spec.words), now)
         if effect is Effect.ANSWER:
-            return self._journal[name].answer
+            return self._journal[command_id].answer
         if effect is not Effect.RUN:
             raise CommandRefused(f"Not carried out: {effect.value}.")
         if memory is not None:
             try:
-                await self._make_durable(name)
+                await self._make_durable(command_id)
             except TimedOut:
-                self._journal.cancel(name)
-                memory.writer.put(Kind.COMMAND, name, None)
+                self._journal.cancel(command_id)
+                memory.writer.put(Kind.COMMAND, command_id, None)
                 raise CommandRefused(
                     "Not carried out: it could not be noted, the disk fails or is slow."
                 ) from None
@@ -278,21 +278,21 @@
             answer = answer if isinstance(answer, str) else await answer
         except CommandRefused as refused:
             answer = f"{refused}\n"
-        self._journal.record_answer(name, answer)
+        self._journal.record_answer(command_id, answer)
         if memory is not None:
             self._manager.store_changes()
             try:
-                await self._make_durable(name)
+                await self._make_durable(command_id)
             except TimedOut:
                 raise CommandRefused(
                     f"Carried out, but not noted, as the disk fails or is slow: {answer}"
                 ) from None
         return answer
 
-    async def _make_durable(self, name: str) -> None:
+    async def _make_durable(self, command_id: str) -> None:
         memory = self._manager.memory
         assert memory is not None
-        memory.record_command(name)
+        memory.record_command(command_id)
         clock: Any = self._manager.clock
         await memory.flush().addTimeout(DURABLE_TIMEOUT, clock)
 
--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -228,8 +228,8 @@
             self._store_trust(processor, wall)
         self.store_guard(table_guard)
         self.store_list(roster, now)
-        for name in self.journal.expire(wall):
-            self.writer.put(Kind.COMMAND, name, None)
+        for command_id in self.journal.expire(wall):
+            self.writer.put(Kind.COMMAND, command_id, None)
 
     def _store_trust(self, processor: ReportProcessor, wall: int) -> None:
         found = processor.hints.trust_sums()
@@ -243,9 +243,9 @@
             del self._stored_trust[name]
             self.writer.put(Kind.TRUST, name, None)
 
-    def record_command(self, name: str) -> None:
+    def record_command(self, command_id: str) -> None:
         """Records a command in its current state in the journal."""
-        self.writer.put(Kind.COMMAND, name, self.journal[name].payload())
+        self.writer.put(Kind.COMMAND, command_id, self.journal[command_id].payload())
 
     def flush(self) -> Deferred[None]:
         """Fires once everything recorded so far is on disk."""
--- a/rushladder/service/run.py
+++ b/rushladder/service/run.py
@@ -212,9 +212,9 @@
         def on_failure(failure: Any) -> None:
             self.manager.record_error(f"agent check of {name}: {failure.value}")
 
-        asked: Deferred[Any] = endpoints.connectProtocol(client_endpoint(address), check)
-        asked.addCallback(lambda _: check.answer.addTimeout(DIAL_TIMEOUT_SECONDS, reactor))
-        asked.addCallbacks(on_answer, on_failure)
+        checked: Deferred[Any] = endpoints.connectProtocol(client_endpoint(address), check)
+        checked.addCallback(lambda _: check.answer.addTimeout(DIAL_TIMEOUT_SECONDS, reactor))
+        checked.addCallbacks(on_answer, on_failure)
 
     def stop(self) -> Deferred[None] | None:
         """Stops the manager. Returns a Deferred that fires once the store has written everything."""
