--- a/rushladder/runtime/grammar.py
+++ b/rushladder/runtime/grammar.py
@@ -155,9 +155,8 @@
             self._line(line)
         if len(self._buffer) >= self._max_line_bytes:
             self._advance(LineKind.TOO_LONG, "")
-            self._buffer = b"-" * (
-                self._max_line_bytes - 1
-            )  # a placeholder: of an overlong line only its length matters
+            # A placeholder: of an overlong line only its length matters.
+            self._buffer = b"-" * (self._max_line_bytes - 1)
         return self._requests
 
     def _line(self, raw: bytes) -> None:
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -464,7 +464,9 @@
             before = found
 
 
-class ReportingWorld(FakeCluster):
+class ReportingCluster(FakeCluster):
+    """A cluster whose servers may send load reports."""
+
     def config_text(self, name: str) -> str:
         lines = list[str]()
         for line in super().config_text(name).splitlines():
@@ -491,29 +493,29 @@
 
 class SteeringByReportsTests(unittest.TestCase):
     def test_when_all_reports_stop_weights_return_without_exceeding_the_write_cap(self) -> None:
-        world = ReportingWorld(cap=12)
-        world.run(6, rate=20)
-        world.service_time["s0"] = 0.45
+        cluster = ReportingCluster(cap=12)
+        cluster.run(6, rate=20)
+        cluster.service_time["s0"] = 0.45
         for number in range(1, 26):
-            world.report(number, {0: 1.5, 1: 0.5, 2: 0.5, 3: 0.5})
-            world.run(1, rate=20)
-        processor, stopped = world.managers["m0"].report_processor, world.clock.seconds()
+            cluster.report(number, {0: 1.5, 1: 0.5, 2: 0.5, 3: 0.5})
+            cluster.run(1, rate=20)
+        processor, stopped = cluster.managers["m0"].report_processor, cluster.clock.seconds()
         self.assertLess(processor.current_hints["s0"], 0.6)
         before, moves = processor.current_hints["s0"], list[float]()
         for _ in range(30):
-            world.run(1, rate=20)
+            cluster.run(1, rate=20)
             moves.append(abs(processor.current_hints.get("s0", 1.0) - before))
             before = processor.current_hints.get("s0", 1.0)
         self.assertEqual(before, 1.0)
         self.assertLessEqual(max(moves), MAX_STEP + 1e-9)
-        for name in world.sites:
+        for name in cluster.sites:
             wrote = [
                 at
-                for at, site, words, _ in world.sent
+                for at, site, words, _ in cluster.sent
                 if site == name and at >= stopped and words[:3] == ("set", "var", "proc.rushladder_wrote")
             ]
             self.assertLessEqual(max((sum(a <= b < a + 10 for b in wrote) for a in wrote), default=0), 12)
-            self.assertGreaterEqual(len(world.usable_weights(name, "pay")), 2)
+            self.assertGreaterEqual(len(cluster.usable_weights(name, "pay")), 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -169,9 +169,8 @@
             )
         address = dns.query.udp(dns.message.make_query("c1.servers.svc.example", "A"), "127.0.0.1", 5, port)
         self.assertEqual(address.answer[0][0].to_text(), "127.0.0.1")
-        with socket.create_connection(
-            ("127.0.0.1", port), 5
-        ) as connection:  # two queries at once, then garbage
+        # Two queries at once, then garbage.
+        with socket.create_connection(("127.0.0.1", port), 5) as connection:
             data = question.to_wire()
             connection.sendall(2 * (len(data).to_bytes(2, "big") + data))
             for _ in range(2):
@@ -215,9 +214,8 @@
         self.assertIn(" 8 1 ", self.ctl("show servers state").stdout)
         self.ctl("set server fleet/c1 state ready")
         self.assertEqual(self.ctl("once job-1 set server fleet/c1 state drain").stdout, "")
-        self.assertNotIn(
-            " 8 1 ", self.ctl("show servers state").stdout
-        )  # answered from the journal, not carried out again
+        # The command was answered from the journal, not carried out again.
+        self.assertNotIn(" 8 1 ", self.ctl("show servers state").stdout)
         shown = self.ctl("show store").stdout
         self.assertIn("Commands_from_record: 1\n", shown)
         busy = self.rushladder("store", "compact", str(folder))
