--- a/rushladder/intake/receiver.py
+++ b/rushladder/intake/receiver.py
@@ -133,7 +133,7 @@
         descriptors = {0: "w", 1: "r", 2: 2, SOCKET_FD: self._socket.fileno()}
         self.pid = reactor.spawnProcess(self, sys.executable, command, env=None, childFDs=descriptors).pid
 
-    def listed(self) -> None:
+    def list_changed(self) -> None:
         """Called when the known addresses may have changed."""
         if self._pipe is not None:
             self._pipe.request_batch()
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -55,13 +55,13 @@
 class ReportReceiver(Protocol):
     """A process that receives load reports for this manager.
 
-    `listed` notifies it that the list of permitted senders may have changed.
+    `list_changed` notifies it that the list of permitted senders may have changed.
     """
 
     pid: int
     starts: int
 
-    def listed(self) -> None: ...
+    def list_changed(self) -> None: ...
 
     def stop(self) -> None: ...
 
@@ -338,7 +338,7 @@
                     name, collector.reports_from or f"agent of {name}", collector.token
                 )
         for receiver in self.report_receivers:
-            receiver.listed()
+            receiver.list_changed()
 
     def _start_probe(self, server: Server) -> None:
         listed = self.roster.listed.get(server.name)
