--- a/rushladder/conf/grammar.py
+++ b/rushladder/conf/grammar.py
@@ -126,6 +126,7 @@
 
 
 def non_empty(word: str) -> str:
+    """Parses any text that is not empty."""
     if not word:
         raise InvalidValue("an empty word; text is required")
     return word
--- a/rushladder/dnsfront/answer_builder.py
+++ b/rushladder/dnsfront/answer_builder.py
@@ -116,6 +116,7 @@
         return None
 
     def find_node(self, query: Query) -> Node:
+        """Looks up the query name in the zone."""
         return self._zone.find(query.name, self._addresses)
 
     def answer(self, query: Query, node: Node, source: str) -> Answer:
--- a/rushladder/dnsfront/resolver_demand.py
+++ b/rushladder/dnsfront/resolver_demand.py
@@ -49,6 +49,7 @@
     mean_usage: dict[str, float] = attrs.field(factory=dict)  # exponential mean of the usage
 
     def identified(self) -> bool:
+        """Whether the client counts as a real resolver, by a proven address or by enough waits."""
         return self.proven or self.wait_count >= MIN_WAITS
 
     def count_usage(self, now: int) -> None:
--- a/rushladder/dnsfront/responder.py
+++ b/rushladder/dnsfront/responder.py
@@ -178,6 +178,7 @@
     # The plan.
 
     def start(self) -> None:
+        """Adds the virtual gateways to the core."""
         self._handle_events(*(virtual.join() for virtual in self.virtual_gateways))
 
     def end_period(self, reported: Mapping[str, float]) -> list[Event]:
--- a/rushladder/intake/hints.py
+++ b/rushladder/intake/hints.py
@@ -128,9 +128,11 @@
         measured_squares: float,
         false_claims: float,
     ) -> None:
+        """Sets the sums of a server to stored ones."""
         self._trust[server] = Trust(products, reported_squares, measured_squares, false_claims)
 
     def worth(self, server: str) -> float:
+        """The worth of a server's reports, from 0 to 1; 0 for an unknown server."""
         return self._trust[server].worth() if server in self._trust else 0.0
 
     def _learn(self, trust: Trust, ratio: float, measured: float | None, freshness: float) -> None:
--- a/rushladder/intake/limits.py
+++ b/rushladder/intake/limits.py
@@ -68,6 +68,7 @@
         return verdict
 
     def forget(self, sender: str) -> None:
+        """Drops the state of a sender that is no longer known."""
         self._arrival_times.pop(sender, None)
         self._senders.discard(sender)
 
--- a/rushladder/intake/processor.py
+++ b/rushladder/intake/processor.py
@@ -89,6 +89,7 @@
         self.version += 1
 
     def forget(self, name: str) -> None:
+        """Removes a server and all state kept for it."""
         known = self.senders.pop(name, None)
         if known is not None:
             self._by_address.pop(known.address, None)
--- a/rushladder/intake/receiver.py
+++ b/rushladder/intake/receiver.py
@@ -57,6 +57,7 @@
         self.buffer, self._requested = DatagramBuffer(frozenset()), False
 
     def add(self, datagram: bytes, address: str) -> None:
+        """Buffers a datagram until the next batch."""
         self.buffer.add(address, datagram)
 
     def stringReceived(self, string: bytes) -> None:
@@ -127,6 +128,7 @@
         self.pid = self.starts = 0
 
     def start(self) -> None:
+        """Starts the receiver process, which inherits the socket."""
         self.starts += 1
         self._started_at = reactor.seconds()
         command = [sys.executable, "-m", "rushladder.intake.receiver"]
@@ -139,6 +141,7 @@
             self._pipe.request_batch()
 
     def stop(self) -> None:
+        """Ends the receiver and closes the socket."""
         self._stopped = True
         if self._restart is not None and self._restart.active():
             self._restart.cancel()
--- a/rushladder/runtime/grammar.py
+++ b/rushladder/runtime/grammar.py
@@ -144,6 +144,7 @@
 
     @property
     def in_payload(self) -> bool:
+        """Whether the next line belongs to a payload."""
         return self._state in (State.PAYLOAD, State.SKIP_PAYLOAD)
 
     def feed(self, data: bytes) -> list[Request | Overlong]:
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -245,6 +245,7 @@
         self._manager, self._commands, self._journal = manager, commands, manager.journal
 
     async def run(self, command: Command, level: Level) -> str:
+        """Handles `once ID COMMAND...` and returns the answer of the inner command."""
         words = command.words
         if len(words) < 3 or not re.fullmatch(rf"[\w.:\-]{{1,{MAX_ID_LENGTH}}}", words[1]):
             raise CommandRefused(
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -361,6 +361,7 @@
         self._prober.probe(listed.address).addBoth(done)
 
     def receive_peer_message(self, peer: int, data: bytes) -> None:
+        """Passes a message of another manager to the decision module."""
         self.handle_events(PeerMessage(peer, data))
 
     def apply_list_change(self, event: Listing[Server] | None) -> None:
--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -176,6 +176,7 @@
             self._put(Kind.LIST, "list", ListMemory(at=self.now(), text=roster.dump(now)))
 
     def store_guard(self, table_guard: TableGuard) -> None:
+        """Records new and changed versions of the operators' factors, and newly refused changes."""
         history, wave = table_guard.history, table_guard.wave
         wave_number = wave.number if wave is not None and not wave.finished else -1
         seen = dict[int, tuple[str, bool, bool]]()
--- a/rushladder/store/log.py
+++ b/rushladder/store/log.py
@@ -308,6 +308,7 @@
         return True
 
     def delete(self, kind: int, key: str) -> None:
+        """Deletes a key if it exists."""
         if self.state.pop((kind, key), None) is not None:
             self._pending[kind, key] = None
 
--- a/rushladder/store/memory.py
+++ b/rushladder/store/memory.py
@@ -351,6 +351,7 @@
         return gone
 
     def names(self) -> list[str]:
+        """The names of all servers that have a record."""
         return list(self._servers)
 
 
--- a/rushladder/structures/timing_wheel.py
+++ b/rushladder/structures/timing_wheel.py
@@ -34,6 +34,7 @@
         self._insert(key, at)
 
     def cancel(self, key: K) -> None:
+        """Removes a key, if present, without expiring it."""
         slot = self._slot_of.pop(key, None)
         if slot is not None:
             del slot[key]
--- a/rushladder/structures/weighted_choice.py
+++ b/rushladder/structures/weighted_choice.py
@@ -146,6 +146,7 @@
             self._set_pass(key, self._pass[key] + max(1e-12, cost) / self.weights[key])
 
     def pass_of(self, key: K) -> float:
+        """The virtual time of the next turn of a key. Raises KeyError if it has no weight."""
         return self._pass[key]
 
     def advance_to(self, virtual_time: float) -> None:
