--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -42,7 +42,7 @@
 """
 
 
-class ConfigTest(unittest.TestCase):
+class ConfigTests(unittest.TestCase):
     def errors(self, text: str) -> list[str]:
         with self.assertRaises(InvalidConfig) as caught:
             parse_config(text, "f")
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -34,7 +34,7 @@
 weights = st.dictionaries(st.integers(0, 30), st.floats(0.01, 100), min_size=1, max_size=20)
 
 
-class WeightedChoiceTest(unittest.TestCase):
+class WeightedChoiceTests(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(weights, st.floats(0, 0.999999), st.lists(st.tuples(st.integers(0, 30), st.floats(0.01, 50))))
     def test_fenwick_tree_draws_like_a_linear_search(
@@ -74,7 +74,7 @@
             self.assertLessEqual(got[key], weight / total * sum(costs) + 2 * max(costs) + 1e-6)
 
 
-class ServerSelectorTest(unittest.TestCase):
+class ServerSelectorTests(unittest.TestCase):
     def test_load_rather_than_answers_follows_the_weights(self) -> None:
         selector, got, draw = ServerSelector(), Counter[str](), Random(2)
         shares = {"a": Share(1.0), "b": Share(1.0), "c": Share(2.0)}
@@ -149,7 +149,7 @@
         self.assertEqual(selector.cached_load, {})
 
 
-class ResolverTableTest(unittest.TestCase):
+class ResolverTableTests(unittest.TestCase):
     def test_load_is_estimated_from_the_wait_before_the_next_query(self) -> None:
         table, draw, rates = ResolverTable(), Random(4), {"small": 0.5, "middle": 5.0, "large": 100.0}
         due = dict.fromkeys(rates, 0.0)
@@ -204,7 +204,7 @@
         self.assertEqual(len(table.identified), 100)
 
 
-class TtlPolicyTest(unittest.TestCase):
+class TtlPolicyTests(unittest.TestCase):
     def test_no_answer_outlives_the_grace_of_a_drain(self) -> None:
         for grace in range(0, 600_000, 7000):
             policy = TtlPolicy(grace, 5000, 0, Random(1).random)
@@ -218,7 +218,7 @@
         self.assertEqual({policy.ttl(False, 10**7) for _ in range(100)}, {policy.normal})
 
 
-class RateLimitTest(unittest.TestCase):
+class RateLimitTests(unittest.TestCase):
     def test_responses_to_a_spoofed_address_are_limited_and_others_are_not(self) -> None:
         limiter, verdicts = RateLimiter(), Counter[Verdict]()
         for turn in range(10_000):  # 10,000 queries a second
@@ -300,7 +300,7 @@
         return {int(str(item.port)) - 7000 for rrset in answer.answer for item in rrset}
 
 
-class AnswerTest(unittest.TestCase):
+class AnswerTests(unittest.TestCase):
     def setUp(self) -> None:
         self.cluster = DnsCluster()
         self.cluster.run(8, rate=10)
@@ -462,7 +462,7 @@
         self.assertIn("ask,a,127.0.0.9,1,", ctl(self.cluster.managers["m0"], "show dns resolvers"))
 
 
-class DemandAndStartTest(unittest.TestCase):
+class DemandAndStartTests(unittest.TestCase):
     def test_servfail_before_the_first_plan_and_random_ttls_after_it(self) -> None:
         cluster = DnsCluster()
         data = dns.message.make_query("ask.svc.example", "A").to_wire()
@@ -553,7 +553,7 @@
         self.assertTrue(30 < SECOND * count / covers < 300, SECOND * count / covers)
 
 
-class MalformedQueryTest(unittest.TestCase):
+class MalformedQueryTests(unittest.TestCase):
     def setUp(self) -> None:
         self.cluster = DnsCluster(gateways=1)
         self.cluster.run(3)
@@ -641,7 +641,7 @@
         return cls._responder
 
 
-class ZoneConfigTest(unittest.TestCase):
+class ZoneConfigTests(unittest.TestCase):
     def test_names_that_are_invalid_in_a_zone_are_reported(self) -> None:
         text = DnsCluster().config_text("m0")
         for old, new, message in (
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -52,7 +52,7 @@
     return ServerMemory(at=NOW - age, **(defaults | extra))
 
 
-class DecayTest(unittest.TestCase):
+class DecayTests(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.sampled_from(Aspect), st.integers(0, 8 * DAY), st.integers(0, 8 * DAY))
     def test_an_older_record_never_counts_more_than_a_newer(
@@ -129,7 +129,7 @@
             )
 
 
-class JournalTest(unittest.TestCase):
+class JournalTests(unittest.TestCase):
     def test_a_repeated_command_is_answered_from_the_journal_and_an_id_belongs_to_one_command(self) -> None:
         journal = Journal()
         self.assertIs(journal.begin("a", "commit table", False, NOW), Effect.RUN)
@@ -197,7 +197,7 @@
         self.run(away, 10)
         return self.start_manager(name)
 
-    def say(self, name: str, text: str) -> str:
+    def run_command(self, name: str, text: str) -> str:
         """Runs a command of a manager's runtime API at admin level and returns its answer."""
         table, got = command_table(self.managers[name]), list[str]()
         spec = table.find(tuple(text.split()))
@@ -220,7 +220,7 @@
         return fail(error)
 
 
-class RestartTest(unittest.TestCase):
+class RestartTests(unittest.TestCase):
     def test_learned_speeds_are_used_from_the_first_table_on(self) -> None:
         cluster = PersistentCluster(servers=6)
         cluster.service_time = {"s0": 0.45, "s2": 0.15, "s4": 0.15}
@@ -257,7 +257,7 @@
     def test_drains_persist_over_a_power_cut_and_are_sent_in_the_first_message(self) -> None:
         cluster = PersistentCluster()
         cluster.run(12, 10)
-        cluster.say("m0", "set server fleet/s0 state drain")
+        cluster.run_command("m0", "set server fleet/s0 state drain")
         cluster.run(0.1)
         at = cluster.clock.seconds()
         cluster.gateways["g0"].backends["ask"]["s0"].admin = "ready"  # changed by hand on the gateway
@@ -275,9 +275,9 @@
     def test_a_server_that_was_cold_is_still_cold_after_a_restart(self) -> None:
         cluster = PersistentCluster(servers=6)
         cluster.run(20, 10)
-        cluster.say("m0", "set server fleet/s0 state maint")
+        cluster.run_command("m0", "set server fleet/s0 state maint")
         cluster.run(3, 10)
-        cluster.say("m0", "set server fleet/s0 state ready")
+        cluster.run_command("m0", "set server fleet/s0 state ready")
         cluster.run(2, 10)
         cluster.power_cut("m0")
         core, persistence = cluster.managers["m0"].core, cluster.managers["m0"].memory
@@ -315,10 +315,10 @@
     def test_operators_factors_persist_over_a_restart_and_a_wave_is_taken_back(self) -> None:
         cluster = PersistentCluster(gateways=4, servers=8)
         cluster.run(12, 10)
-        cluster.say("m0", "set weight ask/s0 90%")
+        cluster.run_command("m0", "set weight ask/s0 90%")
         cluster.run(2, 10)
         first = cluster.managers["m0"].core.table_guard.history.current
-        cluster.say("m0", "set weight ask/s2 30%")
+        cluster.run_command("m0", "set weight ask/s2 30%")
         cluster.run(1, 10)
         wave = cluster.managers["m0"].core.table_guard.wave
         assert wave is not None and not wave.finished
@@ -331,24 +331,28 @@
     def test_a_command_with_an_id_takes_effect_once_over_a_power_cut(self) -> None:
         cluster = PersistentCluster()
         cluster.run(10, 5)
-        answer = cluster.say("m0", "once id-1 set weight ask/s0 95%")
+        answer = cluster.run_command("m0", "once id-1 set weight ask/s0 95%")
         versions = len(cluster.managers["m0"].core.table_guard.history.all())
         manager = cluster.power_cut("m0")
         cluster.run(8, 5)
-        self.assertEqual(cluster.say("m0", "once id-1 set weight ask/s0 95%"), answer)
+        self.assertEqual(cluster.run_command("m0", "once id-1 set weight ask/s0 95%"), answer)
         self.assertEqual(len(manager.core.table_guard.history.all()), versions)
-        self.assertIn("taken by another command", cluster.say("m0", "once id-1 set weight ask/s0 50%"))
-        self.assertIn("Commands_from_record: 1\n", cluster.say("m0", "show store"))
+        self.assertIn(
+            "taken by another command", cluster.run_command("m0", "once id-1 set weight ask/s0 50%")
+        )
+        self.assertIn("Commands_from_record: 1\n", cluster.run_command("m0", "show store"))
 
     def test_a_command_with_an_id_is_not_carried_out_while_the_disk_fails(self) -> None:
         cluster = PersistentCluster()
         cluster.run(10, 5)
         cluster.folders["m0"].read_only = True
-        self.assertIn("Not carried out", cluster.say("m0", "once id-2 set server fleet/s0 state drain"))
-        self.assertNotIn(" 8 ", cluster.say("m0", "show servers state").split("s0")[1][:20])
+        self.assertIn(
+            "Not carried out", cluster.run_command("m0", "once id-2 set server fleet/s0 state drain")
+        )
+        self.assertNotIn(" 8 ", cluster.run_command("m0", "show servers state").split("s0")[1][:20])
         cluster.folders["m0"].read_only = False
         cluster.run(40, 5)
-        self.assertEqual(cluster.say("m0", "once id-2 set server fleet/s0 state drain"), "")
+        self.assertEqual(cluster.run_command("m0", "once id-2 set server fleet/s0 state drain"), "")
         cluster.run(3, 5)
         self.assertNotIn("s0", cluster.usable_weights("g0", "ask"))
 
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -46,7 +46,7 @@
     return [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True)]
 
 
-class GrammarTest(unittest.TestCase):
+class GrammarTests(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(lines, rows, st.booleans(), st.lists(st.integers(0, 400), max_size=6))
     def test_commands_are_parsed_however_the_bytes_are_split(
@@ -119,7 +119,7 @@
         self.assertEqual(parse_fields("Name: x\nUptime_sec: 4\n"), {"Name": "x", "Uptime_sec": "4"})
 
 
-class EndpointTest(unittest.TestCase):
+class EndpointTests(unittest.TestCase):
     def setUp(self) -> None:
         self.clock, self.slow_answer = Clock(), Deferred[str]()
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -47,7 +47,7 @@
 """
 
 
-class SocketTest(unittest.TestCase):
+class SocketTests(unittest.TestCase):
     def setUp(self) -> None:
         directory = tempfile.TemporaryDirectory(prefix="rl")
         self.addCleanup(directory.cleanup)
