--- a/rushladder/service/persistence.py
+++ b/rushladder/service/persistence.py
@@ -118,7 +118,7 @@
             demand = recall_demand(memory, products, wall)
         if demand is None:
             return LearnedState(workers, 0.0)
-        mix = {products[name]: part for name, part in demand.mix.items()}
+        mix = {products[name]: fraction for name, fraction in demand.mix.items()}
         return LearnedState(workers, PER_MS * demand.quiet, mix)
 
     def restore_guard(self, table_guard: TableGuard, now: int) -> None:
@@ -224,7 +224,7 @@
             self.writer.put(Kind.SERVER, name, None)
         self._period_count += 1
         if self._period_count % DEMAND_RECORD_PERIODS == 0 and learned.calm_latency:
-            mix = {product.name: part for product, part in learned.mix.items()}
+            mix = {product.name: fraction for product, fraction in learned.mix.items()}
             self._put(Kind.DEMAND, "all", DemandMemory(at=wall, quiet=learned.calm_latency / PER_MS, mix=mix))
             self._store_trust(processor, wall)
         self.store_guard(table_guard)
@@ -245,7 +245,7 @@
             self.writer.put(Kind.TRUST, name, None)
 
     def record_command(self, command_id: str) -> None:
-        """Records a command in its current state in the journal."""
+        """Writes the journal entry of a command, in its current state, to the store."""
         self.writer.put(Kind.COMMAND, command_id, self.journal[command_id].payload())
 
     def flush(self) -> Deferred[None]:
