--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each beside the plain way in the same run. Run one with `python -m benchmarks.NAME`."""
+"""Benchmarks, each against a simple baseline in the same run. Run one with `python -m benchmarks.NAME`."""
--- a/benchmarks/chart.py
+++ b/benchmarks/chart.py
@@ -1,4 +1,4 @@
-"""Draws the rows that `benchmarks.fleet` printed: order to applied and CPU, beside the plain way.
+"""Draws the rows that `benchmarks.fleet` prints: apply time and CPU use, with and without `--plain`.
 
 python -m benchmarks.fleet 6 10 >> rows; ...; python -m benchmarks.chart rows chart.png
 """
@@ -18,24 +18,24 @@
 @click.argument("rows", type=click.Path(exists=True, dir_okay=False))
 @click.argument("out", type=click.Path(dir_okay=False))
 def main(rows: str, out: str) -> None:
-    """Reads table rows, writes a PNG."""
+    """Reads table rows from ROWS and writes a PNG to OUT."""
     cells = [
         [cell.strip() for cell in line.strip("| \n").split("|")]
         for line in Path(rows).read_text().splitlines()
         if " x " in line
     ]
     sizes = list(dict.fromkeys(row[0] for row in cells))
-    figure, charts = pyplot.subplots(1, 2, figsize=(10, 4))
+    figure, panels = pyplot.subplots(1, 2, figsize=(10, 4))
     for axes, column, title in zip(
-        charts, (6, 5), ("order to applied, median (ms)", "CPU of a busy second (ms)"), strict=True
+        panels, (6, 5), ("change to applied, median (ms)", "CPU per busy second (ms)"), strict=True
     ):
-        for offset, way in ((-0.2, "plain"), (0.2, "difference")):
-            points = {row[0]: float(row[column]) for row in cells if row[1] == way}
+        for offset, variant in ((-0.2, "plain"), (0.2, "difference")):
+            points = {row[0]: float(row[column]) for row in cells if row[1] == variant}
             axes.bar(
-                [place + offset for place, size in enumerate(sizes) if size in points],
+                [position + offset for position, size in enumerate(sizes) if size in points],
                 [points[size] for size in sizes if size in points],
                 width=0.38,
-                label=way,
+                label=variant,
             )
         axes.set(title=title, yscale="log", xlabel="gateways x collectors")
         axes.set_xticks(range(len(sizes)), sizes)
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,4 +1,4 @@
-"""Choosing by weight at three sizes, a weight changed every so many choices: nanoseconds of CPU a choice."""
+"""Weighted choice at three sizes and rates of weight changes. Prints nanoseconds of CPU time per choice."""
 
 from __future__ import annotations
 
@@ -8,72 +8,72 @@
 
 from rushladder.structures.weighted_choice import AliasTable, FenwickTree, LinearChoice, StrideScheduler
 
-MANY = 20_000
+CHOICES = 20_000
 
 
-def stride(weights: dict[int, float]) -> tuple[Callable[[float], object], Callable[[int, float], None]]:
-    turns = StrideScheduler[int]()
+def build_stride(weights: dict[int, float]) -> tuple[Callable[[float], object], Callable[[int, float], None]]:
+    scheduler = StrideScheduler[int]()
     for key, weight in weights.items():
-        turns.set(key, weight)
+        scheduler.set(key, weight)
 
-    def choose(chance: float) -> int:
-        key = turns.next_fitting(1, lambda _: True, 0)[0]
-        turns.charge(key, 1.0 + chance)
+    def choose(random_value: float) -> int:
+        key = scheduler.next_fitting(1, lambda _: True, 0)[0]
+        scheduler.charge(key, 1.0 + random_value)
         return key
 
-    return choose, turns.set
+    return choose, scheduler.set
 
 
-def turns_linear(
+def build_linear_stride(
     weights: dict[int, float],
 ) -> tuple[Callable[[float], object], Callable[[int, float], None]]:
-    """The plain way to choose in turn: the least of all turns."""
-    some, turn = dict(weights), dict.fromkeys(weights, 0.0)
+    """Baseline of the stride scheduler: a linear search for the smallest pass value."""
+    current, passes = dict(weights), dict.fromkeys(weights, 0.0)
 
-    def choose(chance: float) -> int:
-        key = min(turn, key=lambda one: turn[one])
-        turn[key] += (1.0 + chance) / some[key]
+    def choose(random_value: float) -> int:
+        key = min(passes, key=lambda candidate: passes[candidate])
+        passes[key] += (1.0 + random_value) / current[key]
         return key
 
-    return choose, some.__setitem__
+    return choose, current.__setitem__
 
 
-def drawn(
-    kind: type[LinearChoice[int]] | type[AliasTable[int]] | type[FenwickTree[int]],
+def sampler_builder(
+    sampler_type: type[LinearChoice[int]] | type[AliasTable[int]] | type[FenwickTree[int]],
 ) -> Callable[[dict[int, float]], tuple[Callable[[float], object], Callable[[int, float], None]]]:
     def build(weights: dict[int, float]) -> tuple[Callable[[float], object], Callable[[int, float], None]]:
-        made = kind(weights)
-        return made.draw, made.set
+        sampler = sampler_type(weights)
+        return sampler.draw, sampler.set
 
     return build
 
 
-WAYS = {
-    "draw, walk": drawn(LinearChoice),
-    "draw, alias": drawn(AliasTable),
-    "draw, Fenwick": drawn(FenwickTree),
-    "in turn, walk": turns_linear,
-    "in turn, stride": stride,
+VARIANTS = {
+    "random, linear": sampler_builder(LinearChoice),
+    "random, alias": sampler_builder(AliasTable),
+    "random, Fenwick": sampler_builder(FenwickTree),
+    "stride, linear": build_linear_stride,
+    "stride, heap": build_stride,
 }
 
 
 def main() -> None:
-    print("| servers | a change every | " + " | ".join(WAYS) + " |")
-    print("| --- " * (2 + len(WAYS)) + "|")
+    print("| servers | choices per change | " + " | ".join(VARIANTS) + " |")
+    print("| --- " * (2 + len(VARIANTS)) + "|")
     for servers in (30, 99, 1000):
-        for every in (1, 10, 1000):
+        for change_interval in (1, 10, 1000):
             cells = list[str]()
-            for way in WAYS.values():
-                draw = Random(servers)
-                choose, change = way({key: draw.uniform(0.1, 10) for key in range(servers)})
-                chances = [draw.random() for _ in range(MANY)]
-                began = time.process_time_ns()
-                for turn, chance in enumerate(chances):
-                    if turn % every == 0:
-                        change(turn % servers, 0.1 + 10 * chance)
-                    choose(chance)
-                cells.append(f"{(time.process_time_ns() - began) / MANY:.0f}")
-            print(f"| {servers} | {every} | " + " | ".join(cells) + " |")
+            for build in VARIANTS.values():
+                rng = Random(servers)
+                choose, set_weight = build({key: rng.uniform(0.1, 10) for key in range(servers)})
+                random_values = [rng.random() for _ in range(CHOICES)]
+                started = time.process_time_ns()
+                for index, random_value in enumerate(random_values):
+                    if index % change_interval == 0:
+                        set_weight(index % servers, 0.1 + 10 * random_value)
+                    choose(random_value)
+                cells.append(f"{(time.process_time_ns() - started) / CHOICES:.0f}")
+            print(f"| {servers} | {change_interval} | " + " | ".join(cells) + " |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -1,5 +1,5 @@
-"""Commands a second through the socket's grammar: server and client side, joined lines against one command
-a line."""
+"""Throughput of the runtime socket's grammar on the server and the client side: several commands joined in a
+line against one command per line."""
 
 from __future__ import annotations
 
@@ -7,52 +7,58 @@
 
 from rushladder.runtime.grammar import AnswerParser, Command, CommandParser, encode_commands
 
-MANY = 60_000
+OPERATIONS = 60_000
 
 
-def rate(work: int, began: float) -> float:
-    return work / (time.process_time() - began)
+def per_second(count: int, started: float) -> float:
+    return count / (time.process_time() - started)
 
 
-def parsed(joined: int) -> float:
-    """Commands a second that the server's side reads, `joined` of them in a line."""
-    commands = [Command(("set", "server", f"collect/c{k % 99}", "weight", str(k % 257))) for k in range(MANY)]
-    data = b"".join(encode_commands(commands[k : k + joined]) for k in range(0, MANY, joined))
-    parser, found, began = CommandParser(), 0, time.process_time()
-    for place in range(0, len(data), 8192):
-        found += sum(
-            len(getattr(request, "commands", ())) for request in parser.feed(data[place : place + 8192])
+def parse_rate(commands_per_line: int) -> float:
+    """Commands per second that the server side parses."""
+    commands = [
+        Command(("set", "server", f"collect/c{k % 99}", "weight", str(k % 257))) for k in range(OPERATIONS)
+    ]
+    data = b"".join(
+        encode_commands(commands[k : k + commands_per_line]) for k in range(0, OPERATIONS, commands_per_line)
+    )
+    parser, count, started = CommandParser(), 0, time.process_time()
+    for offset in range(0, len(data), 8192):
+        count += sum(
+            len(getattr(request, "commands", ())) for request in parser.feed(data[offset : offset + 8192])
         )
-    assert found == MANY
-    return rate(MANY, began)
+    assert count == OPERATIONS
+    return per_second(OPERATIONS, started)
 
 
-def written(joined: int) -> float:
-    """Commands a second that the client's side writes."""
-    commands = [Command(("set", "server", f"collect/c{k % 99}", "weight", str(k % 257))) for k in range(MANY)]
-    began = time.process_time()
-    for place in range(0, MANY, joined):
-        encode_commands(commands[place : place + joined])
-    return rate(MANY, began)
+def encode_rate(commands_per_line: int) -> float:
+    """Commands per second that the client side encodes."""
+    commands = [
+        Command(("set", "server", f"collect/c{k % 99}", "weight", str(k % 257))) for k in range(OPERATIONS)
+    ]
+    started = time.process_time()
+    for offset in range(0, OPERATIONS, commands_per_line):
+        encode_commands(commands[offset : offset + commands_per_line])
+    return per_second(OPERATIONS, started)
 
 
-def answered() -> float:
-    """Answers a second that the client's side reads."""
-    data, parser, found, began = b"\n> " * MANY, AnswerParser(), 0, time.process_time()
-    for place in range(0, len(data), 8192):
-        found += len(parser.feed(data[place : place + 8192]))
-    assert found == MANY
-    return rate(MANY, began)
+def answer_rate() -> float:
+    """Answers per second that the client side parses."""
+    data, parser, count, started = b"\n> " * OPERATIONS, AnswerParser(), 0, time.process_time()
+    for offset in range(0, len(data), 8192):
+        count += len(parser.feed(data[offset : offset + 8192]))
+    assert count == OPERATIONS
+    return per_second(OPERATIONS, started)
 
 
 def main() -> None:
-    plain, joined = parsed(1), parsed(60)
-    print("| what | one command a line | 60 joined | ratio |")
+    single, joined = parse_rate(1), parse_rate(60)
+    print("| operation | one command per line | 60 per line | ratio |")
     print("| --- | --- | --- | --- |")
-    print(f"| commands a second read by a server | {plain:,.0f} | {joined:,.0f} | {joined / plain:.2f} |")
-    plain, joined = written(1), written(60)
-    print(f"| commands a second written by a client | {plain:,.0f} | {joined:,.0f} | {joined / plain:.2f} |")
-    print(f"| answers a second read by a client | {answered():,.0f} | | |")
+    print(f"| commands/s parsed by the server | {single:,.0f} | {joined:,.0f} | {joined / single:.2f} |")
+    single, joined = encode_rate(1), encode_rate(60)
+    print(f"| commands/s encoded by the client | {single:,.0f} | {joined:,.0f} | {joined / single:.2f} |")
+    print(f"| answers/s parsed by the client | {answer_rate():,.0f} | | |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -1,8 +1,10 @@
-"""Questions to one manager's DNS front while it steers 161 gateways: answered a second, p99, CPU a question.
+"""Load on the DNS front of one manager that also steers 161 gateways: answers per second, latency, CPU time
+per query.
 
-A child asks over loopback from 200 addresses, so many questions a second, every tenth over TCP's size with
-options; another serves the gateways. The plain way beside it answers all from one list, weighed by chance,
-with no account of who asks: what the split and the limits cost.
+A child process sends queries over loopback from 200 addresses at a fixed rate, every tenth with an EDNS
+record that offers 1,232 bytes; another one serves the gateways. The baseline (`--plain`) answers everyone
+from one list by weighted random choice and keeps no state per client. The difference is the cost of the split
+by client and of its limits.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 import click
 from twisted.internet import reactor as _reactor
 
-from benchmarks.fleet import Quiet, plan
+from benchmarks.fleet import NullLogger, manager_config
 from rushladder.conf.reader import parse_config
 from rushladder.dnsfront.answers import Asked, Chosen
 from rushladder.dnsfront.front import Front
@@ -32,62 +34,65 @@
 from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
-GATEWAYS, SERVERS, ASKERS = 161, 99, 200
-SETTLES = 16.0  # s for the manager to hold and fill its gateways
-ZONE = "dns svc.example\n    bind 127.0.0.1:5399\n    ns ns.svc.example=127.0.0.1\n    usual 200/s\n"
-
-
-def question(turn: int) -> bytes:
-    name = (b"\x08_balance\x04_tcp", b"\x07balance", b"\x07collect")[turn % 3]
-    kind = (33, 1, 1)[turn % 3]
-    opt = b"\0\0\x29\x04\xd0\0\0\0\0\0\0" if turn % 10 == 0 else b""
-    head = (turn & 0xFFFF).to_bytes(2, "big") + b"\1\0\0\1\0\0\0\0\0" + bytes([bool(opt)])
-    return head + name + b"\3svc\7example\0" + kind.to_bytes(2, "big") + b"\0\1" + opt
-
-
-def send(port: int, rate: int, seconds: float) -> None:
-    """The child: prints how many were answered, and the p50 and p99 of the answers in ms."""
-    wires, asked = list[socket.socket](), dict[tuple[int, int], float]()
-    for k in range(ASKERS):
-        wire = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        wire.bind((f"127.0.{3 + k}.1", 0))
-        wire.connect(("127.0.0.1", port))
-        wire.setblocking(False)
-        wires.append(wire)
-    began, sent, took = time.monotonic(), 0, list[float]()
-    while (now := time.monotonic() - began) < seconds + 0.5:
+GATEWAYS, SERVERS, CLIENTS = 161, 99, 200
+SETTLE_TIME = 16.0  # s for the manager to connect to its gateways and fill their tables
+ZONE_CONFIG = "dns svc.example\n    bind 127.0.0.1:5399\n    ns ns.svc.example=127.0.0.1\n    usual 200/s\n"
+
+
+def query(index: int) -> bytes:
+    name = (b"\x08_balance\x04_tcp", b"\x07balance", b"\x07collect")[index % 3]
+    record_type = (33, 1, 1)[index % 3]
+    opt = b"\0\0\x29\x04\xd0\0\0\0\0\0\0" if index % 10 == 0 else b""
+    header = (index & 0xFFFF).to_bytes(2, "big") + b"\1\0\0\1\0\0\0\0\0" + bytes([bool(opt)])
+    return header + name + b"\3svc\7example\0" + record_type.to_bytes(2, "big") + b"\0\1" + opt
+
+
+def run_client(port: int, rate: int, seconds: float) -> None:
+    """The client process. Prints the number of queries and of answers, and the answers' p50 and p99 in ms."""
+    sockets, sent_at = list[socket.socket](), dict[tuple[int, int], float]()
+    for k in range(CLIENTS):
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.bind((f"127.0.{3 + k}.1", 0))
+        sock.connect(("127.0.0.1", port))
+        sock.setblocking(False)
+        sockets.append(sock)
+    started, sent, latencies = time.monotonic(), 0, list[float]()
+    while (now := time.monotonic() - started) < seconds + 0.5:
         busy = False
         while sent < rate * min(now, seconds):
-            k = sent % ASKERS
-            asked[k, sent & 0xFFFF] = time.monotonic()
-            wires[k].send(question(sent))
+            k = sent % CLIENTS
+            sent_at[k, sent & 0xFFFF] = time.monotonic()
+            sockets[k].send(query(sent))
             sent, busy = sent + 1, True
-        for k, wire in enumerate(wires):
+        for k, sock in enumerate(sockets):
             try:
                 while True:
-                    data = wire.recv(2000)
-                    at = asked.pop((k, int.from_bytes(data[:2], "big")), None)
-                    if at is not None and not data[2] & 2:
-                        took.append(1000 * (time.monotonic() - at))
+                    data = sock.recv(2000)
+                    query_time = sent_at.pop((k, int.from_bytes(data[:2], "big")), None)
+                    if query_time is not None and not data[2] & 2:
+                        latencies.append(1000 * (time.monotonic() - query_time))
                     busy = True
             except BlockingIOError:
                 continue
         if not busy:
             time.sleep(0.0002)
-    took.sort()
+    latencies.sort()
     print(
-        sent, len(took), took[len(took) // 2] if took else 0, took[int(0.99 * (len(took) - 1))] if took else 0
+        sent,
+        len(latencies),
+        latencies[len(latencies) // 2] if latencies else 0,
+        latencies[int(0.99 * (len(latencies) - 1))] if latencies else 0,
     )
 
 
-def plain(front: Front) -> Callable[[Asked, bool], Chosen | None]:
-    """One list, by chance, for everyone."""
-    draw = Random(1).random
+def baseline_choice(front: Front) -> Callable[[Asked, bool], Chosen | None]:
+    """Weighted random choice from one list, the same for all clients."""
+    next_random = Random(1).random
 
-    def choose(asked: Asked, weighed: bool) -> Chosen | None:
+    def choose(asked: Asked, weighted: bool) -> Chosen | None:
         pool = front.pools[asked.product, asked.region]
-        chances = LinearChoice({name: target.weight for name, target in pool.targets.items()})
-        names = dict.fromkeys(chances.draw(draw()) for _ in range(2))
+        sampler = LinearChoice({name: target.weight for name, target in pool.targets.items()})
+        names = dict.fromkeys(sampler.draw(next_random()) for _ in range(2))
         return Chosen([pool.targets[name] for name in names], 2)
 
     return choose
@@ -96,75 +101,90 @@
 @click.command()
 @click.argument("rate", type=int)
 @click.option("--seconds", default=8.0)
-@click.option("--plain", "simple", is_flag=True, help="Answers by chance, with no account of who asks.")
-@click.option("--child", default=0, help="Asks this port instead (used by the command itself).")
-def main(rate: int, seconds: float, simple: bool, child: int) -> None:
-    """One row: RATE questions a second."""
+@click.option(
+    "--plain", "baseline", is_flag=True, help="Answer by weighted random choice, without state per client."
+)
+@click.option("--child", default=0, help="Only send queries to this port (for internal use).")
+def main(rate: int, seconds: float, baseline: bool, child: int) -> None:
+    """Prints one row of the table: RATE queries per second."""
     if child:
-        return send(child, rate, seconds)
+        return run_client(child, rate, seconds)
     with tempfile.TemporaryDirectory() as folder:
         command = [sys.executable, "-m", "benchmarks.fleet", str(GATEWAYS), str(SERVERS), "--serve", folder]
         gateways = subprocess.Popen(command)
         try:
             time.sleep(2.5)
-            text = plan(folder, GATEWAYS, SERVERS) + "\n" + ZONE
-            measure(rate, seconds, simple, Manager(parse_config(text, "plan"), reactor, dial, None, Quiet()))
+            config = manager_config(folder, GATEWAYS, SERVERS) + "\n" + ZONE_CONFIG
+            measure(
+                rate,
+                seconds,
+                baseline,
+                Manager(parse_config(config, "fleet.conf"), reactor, dial, None, NullLogger()),
+            )
         finally:
             gateways.kill()
             gateways.wait()
 
 
-def measure(rate: int, seconds: float, simple: bool, manager: Manager) -> None:
+def measure(rate: int, seconds: float, baseline: bool, manager: Manager) -> None:
     front = manager.dns
     assert front is not None
-    if simple:
-        front._answers._choose = plain(front)
+    if baseline:
+        front._answers._choose = baseline_choice(front)
     port = reactor.listenUDP(0, Datagrams(front), interface="127.0.0.1")
     port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_000_000)
-    marks, process, replans, held = list[float](), list[subprocess.Popen[str]](), list[float](), list[int]()
+    cpu_marks, clients, replan_times, connected = (
+        list[float](),
+        list[subprocess.Popen[str]](),
+        list[float](),
+        list[int](),
+    )
     front.limits.take = lambda *_: next(iter(front.limits.counts))  # type: ignore[method-assign]
 
-    def mark() -> None:
-        marks.append(time.process_time())
-        held.append(sum(driver.session is not None for driver in manager.drivers))
+    def record_cpu() -> None:
+        cpu_marks.append(time.process_time())
+        connected.append(sum(driver.session is not None for driver in manager.drivers))
 
-    def ask() -> None:
-        mark()
+    def start_client() -> None:
+        record_cpu()
         command = [sys.executable, "-m", "benchmarks.dns", str(rate), "--seconds", str(seconds)]
         command += ["--child", str(port.getHost().port)]
-        process.append(subprocess.Popen(command, stdout=subprocess.PIPE, text=True))
+        clients.append(subprocess.Popen(command, stdout=subprocess.PIPE, text=True))
 
-    def change() -> None:
-        """A plan's change, timed by itself: one server goes or comes, and both seats are planned anew."""
-        for turn in range(40):
-            state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
+    def measure_replans() -> None:
+        """Times the new plan after one server starts or stops draining. Both regions are planned again."""
+        for index in range(40):
+            state = Availability.DRAINING if index % 2 == 0 else Availability.READY
             manager.roster.change("c5", clock_tenths(reactor), availability=state)
-            began = time.process_time_ns()
+            started = time.process_time_ns()
             front.listing()
-            replans.append((time.process_time_ns() - began) / 1e6)
+            replan_times.append((time.process_time_ns() - started) / 1e6)
 
     reactor.callWhenRunning(manager.start)
-    reactor.callLater(SETTLES, mark)
-    reactor.callLater(SETTLES + seconds, ask)
-    reactor.callLater(SETTLES + 2 * seconds, mark)
-    reactor.callLater(SETTLES + 2 * seconds + 1.5, change)
-    reactor.callLater(SETTLES + 2 * seconds + 2.0, reactor.stop)
+    reactor.callLater(SETTLE_TIME, record_cpu)
+    reactor.callLater(SETTLE_TIME + seconds, start_client)
+    reactor.callLater(SETTLE_TIME + 2 * seconds, record_cpu)
+    reactor.callLater(SETTLE_TIME + 2 * seconds + 1.5, measure_replans)
+    reactor.callLater(SETTLE_TIME + 2 * seconds + 2.0, reactor.stop)
     reactor.run()
-    sent, answered, p50, p99 = (float(word) for word in process[0].communicate()[0].split())
-    cpu = (marks[2] - marks[1]) - (marks[1] - marks[0])  # less what steering costs by itself
-    figures = (
+    sent, answered, p50, p99 = (float(field) for field in clients[0].communicate()[0].split())
+    # The CPU time of the phase without queries is subtracted: it is the cost of steering alone.
+    cpu = (cpu_marks[2] - cpu_marks[1]) - (cpu_marks[1] - cpu_marks[0])
+    columns = (
         answered / seconds,
         100 * answered / sent,
         p50,
         p99,
         1e6 * cpu / max(1.0, answered),
-        100 * (marks[1] - marks[0]) / seconds,
-        sorted(replans)[len(replans) // 2],
-        held[-1],
+        100 * (cpu_marks[1] - cpu_marks[0]) / seconds,
+        sorted(replan_times)[len(replan_times) // 2],
+        connected[-1],
         resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
     )
     print(
-        f"| {rate} | {'plain' if simple else 'split'} | " + " | ".join(f"{one:.1f}" for one in figures) + " |"
+        f"| {rate} | {'plain' if baseline else 'split'} | "
+        + " | ".join(f"{column:.1f}" for column in columns)
+        + " |"
     )
 
 
--- a/benchmarks/estimate.py
+++ b/benchmarks/estimate.py
@@ -1,7 +1,9 @@
-"""How far readings are from the truth, by how many reports of a server are taken in: prints a table, draws
-a chart.
+"""Error of the load readings, by the number of reports accepted per second and server. Prints a table and
+optionally draws a chart.
 
-python -m benchmarks.estimate [chart.png]. Loads swing and jitter; the truth is each load without its jitter.
+    python -m benchmarks.estimate [chart.png]
+
+The simulated loads are a sine wave with jitter. The error is measured against the load without jitter.
 """
 
 from __future__ import annotations
@@ -18,44 +20,48 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-SERVERS, SECONDS, SENT, TENTHS = 30, 60, 40, 10_000  # SENT: reports a second of each server
+# REPORT_RATE: reports that each server sends per second. SECOND: in tenths of a millisecond.
+SERVERS, DURATION, REPORT_RATE, SECOND = 30, 60, 40, 10_000
+
 
+def measure(accepted_rate: float) -> tuple[float, float]:
+    """Returns the root mean square error of the readings and the share of reports that was accepted.
 
-def errors(own: float) -> tuple[float, float]:
-    """Root mean square error of the readings, and the part of reports that was read."""
-    draw, limits = Random(5), ReportLimits(own, 2, 1e6)
-    readings, phases = [Reading() for _ in range(SERVERS)], [draw.uniform(0, 6.28) for _ in range(SERVERS)]
-    total, many, read = 0.0, 0, 0
-    for tick in range(SECONDS * SENT):
-        now = 1 + tick * TENTHS // SENT
+    accepted_rate: reports accepted per second of each server.
+    """
+    rng, limits = Random(5), ReportLimits(accepted_rate, 2, 1e6)
+    readings, phases = [Reading() for _ in range(SERVERS)], [rng.uniform(0, 6.28) for _ in range(SERVERS)]
+    squared_error, samples, accepted = 0.0, 0, 0
+    for tick in range(DURATION * REPORT_RATE):
+        now = 1 + tick * SECOND // REPORT_RATE
         for k, reading in enumerate(readings):
-            truth = 0.5 + 0.3 * math.sin(now / (20 * TENTHS) * 6.28 + phases[k])
+            truth = 0.5 + 0.3 * math.sin(now / (20 * SECOND) * 6.28 + phases[k])
             if limits.admit(str(k), now) is RateVerdict.ACCEPTED:
-                load = min(1.0, max(0.0, truth + draw.gauss(0, 0.15)))
-                read += reading.add(1, tick + 1, float(now), load, now) is ReadingOutcome.NEW
-            if now > 10 * TENTHS:
-                total += (reading.value() - truth) ** 2
-                many += 1
-    return math.sqrt(total / many), read / (SECONDS * SENT * SERVERS)
+                load = min(1.0, max(0.0, truth + rng.gauss(0, 0.15)))
+                accepted += reading.add(1, tick + 1, float(now), load, now) is ReadingOutcome.NEW
+            if now > 10 * SECOND:
+                squared_error += (reading.value() - truth) ** 2
+                samples += 1
+    return math.sqrt(squared_error / samples), accepted / (DURATION * REPORT_RATE * SERVERS)
 
 
 @click.command()
 @click.argument("chart", default="")
 def main(chart: str) -> None:
-    """Writes a chart to CHART if one is named."""
-    rows = [(own, *errors(own)) for own in (0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 40.0)]
-    print("| taken a second of 40 | part read | error of the reading |")
+    """Prints the table. With CHART, also writes a chart to that file."""
+    rows = [(rate, *measure(rate)) for rate in (0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 40.0)]
+    print("| accepted per second, of 40 | share accepted | error of the reading |")
     print("| --- | --- | --- |")
-    for own, error, part in rows:
-        print(f"| {own:g} | {part:.1%} | {error:.3f} |")
+    for rate, error, share in rows:
+        print(f"| {rate:g} | {share:.1%} | {error:.3f} |")
     if chart:
         figure, axes = pyplot.subplots(figsize=(6, 4))
         axes.plot([row[0] for row in rows], [row[1] for row in rows], marker="o")
         axes.set(
             xscale="log",
-            xlabel="reports taken a second and server, of 40 sent",
-            ylabel="rms error of load",
-            title="what sampling costs",
+            xlabel="reports accepted per second and server, of 40 sent",
+            ylabel="RMS error of load",
+            title="error caused by sampling",
             ylim=(0, None),
         )
         figure.savefig(chart, dpi=100, bbox_inches="tight")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,7 +1,7 @@
-"""One manager and many gateways over UNIX sockets: CPU of a beat, order to applied, memory, at three sizes.
+"""One manager with many gateways over UNIX sockets: CPU time of a tick, apply time and memory.
 
-The gateways live in a child process and count txns by themselves; this process runs the manager alone. The
-plain way beside it sends its whole table at each order, one command a round trip.
+The gateways run in a child process and simulate their own txns; this process runs the manager alone. The
+baseline (`--plain`) sends the whole table at each change, one command per round trip.
 """
 
 from __future__ import annotations
@@ -31,13 +31,16 @@
 
 reactor: Any = _reactor
 PRODUCTS = ("balance", "mandate", "collect")
-A_SECOND = 6  # txns of a product and second at each gateway
+TXN_RATE = 6  # txns per second of each product at each gateway
 
 
-def gateways(folder: str, many: int, servers: int, moving: bool) -> None:
-    """The child: `many` gateways, each with txns of its own."""
+def serve_gateways(folder: str, gateways: int, servers: int, moving: bool) -> None:
+    """The gateway process: serves the sockets of all gateways and simulates their txns.
+
+    moving: half of the collectors slow down and recover periodically.
+    """
     states = list[GatewayState]()
-    for k in range(many):
+    for k in range(gateways):
         state = GatewayState(PRODUCTS, reactor.seconds, k + 1)
         for product in PRODUCTS:
             for j in range(min(5, servers)):
@@ -45,21 +48,22 @@
         states.append(state)
         reactor.listenUNIX(f"{folder}/g{k}", RuntimeFactory(state.verbs, Level.ADMIN, reactor))
 
-    def second() -> None:
+    def run_second() -> None:
         for state in states:
             for product in PRODUCTS:
-                for _ in range(A_SECOND):
+                for _ in range(TXN_RATE):
                     line = state.pick(product) if state.lets_in(product) else None
                     if line is not None:
-                        turn = int(reactor.seconds()) // 6 + int(line.name[1:])
-                        line.settle(1.5 if moving and turn % 2 else 0.2)
-        reactor.callLater(1.0, second)
+                        phase = int(reactor.seconds()) // 6 + int(line.name[1:])
+                        line.settle(1.5 if moving and phase % 2 else 0.2)
+        reactor.callLater(1.0, run_second)
 
-    second()
+    run_second()
     reactor.run()
 
 
-def plan(folder: str, many: int, servers: int) -> str:
+def manager_config(folder: str, gateways: int, servers: int) -> str:
+    """Returns the manager's configuration for gateways whose sockets are in `folder`."""
     lines = [
         "manager m1",
         "    region a",
@@ -79,168 +83,180 @@
             "    revenue 3",
             "    repeat once-only",
         ]
-    for k in range(many):
+    for k in range(gateways):
         lines += [
             f"gateway g{k}",
             f"    region {'ab'[k % 2]}",
             f"    socket unix@{folder}/g{k}",
-            f"    usual {A_SECOND * len(PRODUCTS)}/s",
+            f"    usual {TXN_RATE * len(PRODUCTS)}/s",
         ]
     for k in range(servers):
         lines += [f"collector c{k}", f"    region {'ab'[k % 2]}", f"    address 127.0.0.1:{10_000 + k}"]
     return "\n".join(lines)
 
 
-class PlainDriver(GatewayDriver):
-    """The plain way: the whole table with each message, and every command awaited before the next."""
+class FullTableDriver(GatewayDriver):
+    """The baseline: sends the whole table with each message and waits for each command's answer."""
 
     async def _send_commands(self, client: RuntimeClient, message: Message) -> list[str]:
-        port, refused = self.session, list[str]()
-        if port is None:
+        session, refused = self.session, list[str]()
+        if session is None:
             return refused
         wanted = {
             key: line
-            for product in port.tables
-            for key, line in self._core.desired_lines(port, product).items()
+            for product in session.tables
+            for key, line in self._core.desired_lines(session, product).items()
         }
         commands = server_commands({}, wanted, ())
         for command in commands:
             name = command.words[2]
-            if command.words[0] == "add" and tuple(name.split("/")) in port.held.lines:
+            if command.words[0] == "add" and tuple(name.split("/")) in session.held.lines:
                 command = Command(("set", "server", name, "weight", "0"))
             await client.send(command)
         await super()._send_commands(client, message)
         return refused
 
 
-class Quiet:
-    def info(self, event: str, **more: Any) -> None:
-        """Nothing is written while it is measured."""
+class NullLogger:
+    def info(self, event: str, **fields: Any) -> None:
+        """Discards the event: writing the log is not part of the measurement."""
 
     warning = info
 
 
-def measure(many: int, servers: int, seconds: float, plain: bool, moving: bool) -> dict[str, float]:
-    """Runs one manager; returns CPU of a quiet and of a busy second (ms), order-to-applied times (ms),
-    memory (MiB)."""
+def measure(gateways: int, servers: int, seconds: float, plain: bool, moving: bool) -> dict[str, float]:
+    """Runs one manager. Returns the columns of the table by name: times in ms, memory in MiB."""
     with tempfile.TemporaryDirectory() as folder:
-        # A process started afresh: one that is forked would share this one's event queue.
-        command = [sys.executable, "-m", "benchmarks.fleet", str(many), str(servers), "--serve", folder]
+        # The child must not be forked: it would share this process's event queue.
+        command = [sys.executable, "-m", "benchmarks.fleet", str(gateways), str(servers), "--serve", folder]
         command += ["--moving"] if moving else []
         child = subprocess.Popen(command)
-        found = dict[str, float]()
+        results = dict[str, float]()
         try:
-            time.sleep(1.5 + many / 200)
-            manager = Manager(parse_config(plan(folder, many, servers), "plan"), reactor, dial, None, Quiet())
+            time.sleep(1.5 + gateways / 200)
+            manager = Manager(
+                parse_config(manager_config(folder, gateways, servers), "fleet.conf"),
+                reactor,
+                dial,
+                None,
+                NullLogger(),
+            )
             if plain:
                 for driver in manager.drivers:
-                    driver.__class__ = PlainDriver
-            histogram: Any = HdrHistogram(1, 600_000, 3)
-            cpu = list[tuple[str, float]]()
+                    driver.__class__ = FullTableDriver
+            apply_histogram: Any = HdrHistogram(1, 600_000, 3)  # tenths of a ms
+            cpu_marks = list[tuple[str, float]]()
 
-            def mark(name: str) -> None:
-                cpu.append((name, time.process_time()))
-                found["held"] = float(len(manager.core.sessions))
+            def start_phase(name: str) -> None:
+                cpu_marks.append((name, time.process_time()))
+                results["held"] = float(len(manager.core.sessions))
 
-            def churn(turn: int) -> None:
+            def change_servers(index: int) -> None:
                 manager.core.apply_times.clear()
                 now = clock_tenths(reactor)
                 for k in range(0, servers, 5):
-                    state = Availability.DRAINING if turn % 2 == 0 else Availability.READY
+                    state = Availability.DRAINING if index % 2 == 0 else Availability.READY
                     manager.apply_list_change(manager.roster.change(f"c{k}", now, availability=state))
 
             def collect() -> None:
                 for elapsed in manager.core.apply_times:
-                    histogram.record_value(max(1, elapsed))
+                    apply_histogram.record_value(max(1, elapsed))
                 manager.core.apply_times.clear()
 
-            beats: Any = HdrHistogram(1, 10_000_000, 3)  # microseconds of CPU for one batch of events
-            take = manager.core.take
-
-            def timed(now: int, *events: Any) -> None:
-                began = time.process_time_ns()
-                take(now, *events)
-                if len(cpu) == 1:  # between the two marks: nothing changes but what comes
-                    beats.record_value(max(1, (time.process_time_ns() - began) // 1000))
-
-            manager.core.take = timed  # type: ignore[method-assign]
-            waits: Any = HdrHistogram(
-                1, 600_000, 3
-            )  # from sums given to the module to the message they led to
-            close, message, told = manager.reports.take_events, manager.core.next_message, [0]
-
-            def closed(hints: Any = None) -> list[Any]:
-                told[0] = clock_tenths(reactor)
-                return close(hints)
-
-            def sent(now: int, session: Any) -> Message:
-                made = message(now, session)
-                if made.commands and len(cpu) == 1:
-                    waits.record_value(max(1, now - told[0]))
-                return made
-
-            manager.reports.take_events = closed  # type: ignore[method-assign]
-            manager.core.next_message = sent  # type: ignore[method-assign]
+            tick_histogram: Any = HdrHistogram(
+                1, 10_000_000, 3
+            )  # CPU time of one batch of events, microseconds
+            original_take = manager.core.take
+
+            def timed_take(now: int, *events: Any) -> None:
+                started = time.process_time_ns()
+                original_take(now, *events)
+                if len(cpu_marks) == 1:  # only in the quiet phase: no server changes
+                    tick_histogram.record_value(max(1, (time.process_time_ns() - started) // 1000))
+
+            manager.core.take = timed_take  # type: ignore[method-assign]
+            # From handing traffic sums to the decision module to the message they lead to, tenths of a ms.
+            reaction_histogram: Any = HdrHistogram(1, 600_000, 3)
+            original_take_events, original_next_message, taken_at = (
+                manager.reports.take_events,
+                manager.core.next_message,
+                [0],
+            )
+
+            def timed_take_events(hints: Any = None) -> list[Any]:
+                taken_at[0] = clock_tenths(reactor)
+                return original_take_events(hints)
+
+            def timed_next_message(now: int, session: Any) -> Message:
+                message = original_next_message(now, session)
+                if message.commands and len(cpu_marks) == 1:
+                    reaction_histogram.record_value(max(1, now - taken_at[0]))
+                return message
+
+            manager.reports.take_events = timed_take_events  # type: ignore[method-assign]
+            manager.core.next_message = timed_next_message  # type: ignore[method-assign]
             reactor.callWhenRunning(manager.start)
-            quiet = 12.0 + many / 40
-            reactor.callLater(quiet, mark, "quiet")
-            reactor.callLater(quiet + seconds, mark, "busy")
-            for turn in range(int(seconds)):
-                reactor.callLater(quiet + seconds + turn, churn, turn)
-                reactor.callLater(quiet + seconds + turn + 0.95, collect)
-            reactor.callLater(2 * seconds + quiet, mark, "end")
-            reactor.callLater(2 * seconds + quiet + 0.1, reactor.stop)
+            settle_time = 12.0 + gateways / 40
+            reactor.callLater(settle_time, start_phase, "quiet")
+            reactor.callLater(settle_time + seconds, start_phase, "busy")
+            for index in range(int(seconds)):
+                reactor.callLater(settle_time + seconds + index, change_servers, index)
+                reactor.callLater(settle_time + seconds + index + 0.95, collect)
+            reactor.callLater(2 * seconds + settle_time, start_phase, "end")
+            reactor.callLater(2 * seconds + settle_time + 0.1, reactor.stop)
             reactor.run()
-            times = dict(cpu)
-            found |= {
-                "quiet": 1000 * (times["busy"] - times["quiet"]) / seconds,
-                "busy": 1000 * (times["end"] - times["busy"]) / seconds,
-                "messages": float(histogram.get_total_count()),
+            cpu_times = dict(cpu_marks)
+            results |= {
+                "quiet": 1000 * (cpu_times["busy"] - cpu_times["quiet"]) / seconds,
+                "busy": 1000 * (cpu_times["end"] - cpu_times["busy"]) / seconds,
+                "messages": float(apply_histogram.get_total_count()),
                 "memory": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
             }
-            found["orders"] = float(waits.get_total_count())
-            found["r50"], found["r99"] = (waits.get_value_at_percentile(part) / 10 for part in (50, 99))
-            found["beat"] = beats.get_max_value() / 1000
-            for name, part in (("p50", 50), ("p99", 99), ("max", 100)):
-                found[name] = histogram.get_value_at_percentile(part) / 10
+            results["reactions"] = float(reaction_histogram.get_total_count())
+            results["reaction_p50"], results["reaction_p99"] = (
+                reaction_histogram.get_value_at_percentile(percent) / 10 for percent in (50, 99)
+            )
+            results["tick"] = tick_histogram.get_max_value() / 1000
+            for name, percent in (("p50", 50), ("p99", 99), ("max", 100)):
+                results[name] = apply_histogram.get_value_at_percentile(percent) / 10
         finally:
             child.kill()
             child.wait()
-        return found
+        return results
 
 
 @click.command()
-@click.argument("many", type=int)
+@click.argument("gateways", type=int)
 @click.argument("servers", type=int)
 @click.option("--seconds", default=8.0)
 @click.option("--moving", is_flag=True, help="Half of the collectors slow down and recover every 6 s.")
-@click.option("--plain", is_flag=True, help="The whole table each time, one command a round trip.")
+@click.option("--plain", is_flag=True, help="Send the whole table each time, one command per round trip.")
 @click.option(
-    "--serve", default="", help="Serves the gateways in this folder instead (used by the command itself)."
+    "--serve", default="", help="Only serve the gateways, with sockets in this folder (for internal use)."
 )
-def main(many: int, servers: int, seconds: float, plain: bool, moving: bool, serve: str) -> None:
-    """One row: MANY gateways, SERVERS collectors."""
+def main(gateways: int, servers: int, seconds: float, plain: bool, moving: bool, serve: str) -> None:
+    """Prints one row of the table: GATEWAYS gateways, SERVERS collectors."""
     if serve:
-        return gateways(serve, many, servers, moving)
-    got = measure(many, servers, seconds, plain, moving)
+        return serve_gateways(serve, gateways, servers, moving)
+    measured = measure(gateways, servers, seconds, plain, moving)
     columns = [
-        f"{got[name]:.1f}"
+        f"{measured[name]:.1f}"
         for name in (
             "held",
             "quiet",
-            "beat",
+            "tick",
             "busy",
             "p50",
             "p99",
             "max",
             "messages",
             "memory",
-            "orders",
-            "r50",
-            "r99",
+            "reactions",
+            "reaction_p50",
+            "reaction_p99",
         )
     ]
-    print(f"| {many} x {servers} | {'plain' if plain else 'difference'} | {' | '.join(columns)} |")
+    print(f"| {gateways} x {servers} | {'plain' if plain else 'difference'} | {' | '.join(columns)} |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,12 +1,13 @@
-"""Reports at a flood against one manager that steers 48 gateways: CPU a report, how many are read, how late
-the beat is, memory. Quiet and flooded stretches take turns, so that both meet the same neighbours.
+"""A flood of load reports against one manager that steers 48 gateways: CPU time per report, share of reports
+read, delay of a periodic timer, memory. Quiet and flooded phases alternate, so that other load on the machine
+affects both alike.
 
-A machine shared with others takes its cores away now and then; a flood's processes make that likelier. A beat
-is therefore also given as late by this process's own work: no later than what it computed since the last one.
+A child process sends reports over loopback from addresses of its own (127.0.1.N), by UDP or by one TCP stream
+per server: a tenth of the servers as fast as possible, the others twice per second. Another child serves the
+gateways. This process runs the manager and a timer whose delay is measured with and without the flood.
 
-A child sends over loopback from addresses of its own (127.0.1.N), a tenth of the servers as fast as it can,
-the others twice a second, by UDP or by one TCP stream each; another serves the gateways. This process runs
-the manager, and a beat whose lateness is measured with and without the flood.
+On a shared machine the process sometimes loses its core, and more often so during a flood. Therefore the
+timer's delay is also given with an upper bound: the CPU time that this process used since the last tick.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 import click
 from twisted.internet import protocol, reactor as _reactor
 
-from benchmarks.fleet import Quiet, plan
+from benchmarks.fleet import NullLogger, manager_config
 from rushladder.conf.grammar import Address
 from rushladder.conf.reader import parse_config
 from rushladder.intake.processor import ReportProcessor, ReportOutcome
@@ -39,27 +40,29 @@
 
 reactor: Any = _reactor
 GATEWAYS, SERVERS = 48, 100
-SETTLES = 10.0  # s for the manager to hold and fill its gateways
-BEAT = 0.05  # s between two beats at the mean, drawn: even ones meet the module's own always or never
+SETTLE_TIME = 10.0  # s for the manager to connect to its gateways and fill their tables
+# Mean time between two ticks of the timer, in s. The intervals are random: ticks at even intervals would
+# coincide with the decision module's own either always or never.
+TICK_INTERVAL = 0.05
 
 
-class Plain(protocol.DatagramProtocol):
-    """The plain way: datagrams are read where the manager runs."""
+class InProcessReceiver(protocol.DatagramProtocol):
+    """The baseline: datagrams are read in the manager's process."""
 
-    def __init__(self, desk: ReportProcessor) -> None:
-        self._desk, self._gathering = desk, DatagramBuffer(frozenset(desk.addresses()))
+    def __init__(self, processor: ReportProcessor) -> None:
+        self._processor, self._buffer = processor, DatagramBuffer(frozenset(processor.addresses()))
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        if not self._gathering:
-            reactor.callLater(BATCH_INTERVAL, self._give)
-        self._gathering.add(addr[0], datagram)
+        if not self._buffer:
+            reactor.callLater(BATCH_INTERVAL, self._flush)
+        self._buffer.add(addr[0], datagram)
 
-    def _give(self) -> None:
-        senders = [Sender(address=a, passed_over=p, reports=r) for a, p, r in self._gathering.take()]
-        process_batch(self._desk, Batch(senders=senders), int(10_000 * reactor.seconds()))
+    def _flush(self) -> None:
+        senders = [Sender(address=a, passed_over=p, reports=r) for a, p, r in self._buffer.take()]
+        process_batch(self._processor, Batch(senders=senders), int(10_000 * reactor.seconds()))
 
 
-def report(k: int, number: int, uptime: float) -> bytes:
+def encode_report(k: int, number: int, uptime: float) -> bytes:
     return Envelope(
         server=f"c{k}",
         token=bytes([k]) * 8,
@@ -70,45 +73,46 @@
     ).SerializeToString()
 
 
-def send(port: int, rate: int, seconds: float, tcp: bool) -> None:
-    """The child: `rate` reports a second in all, from SERVERS addresses, a tenth of which flood. What a full
-    stream can't take is not sent."""
-    wires = list[socket.socket]()
+def run_senders(port: int, rate: int, seconds: float, tcp: bool) -> None:
+    """The sender process: `rate` reports per second in total, most of them from a tenth of SERVERS addresses.
+    A report that does not fit a full stream's buffer is skipped. Prints the number of reports sent.
+    """
+    sockets = list[socket.socket]()
     for k in range(SERVERS):
-        wire = socket.socket(socket.AF_INET, socket.SOCK_STREAM if tcp else socket.SOCK_DGRAM)
-        wire.bind((f"127.0.1.{k + 1}", 0))
-        wire.connect(("127.0.0.1", port))
-        wire.setblocking(False)
-        wires.append(wire)
-    rest = dict[int, bytes]()  # of a frame that a stream took half of
-    began, sent, sent_all, number = time.monotonic(), 0, 0, 0
-    flood = SERVERS // 10
-    while (now := time.monotonic() - began) < seconds:
-        while sent < rate * now:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM if tcp else socket.SOCK_DGRAM)
+        sock.bind((f"127.0.1.{k + 1}", 0))
+        sock.connect(("127.0.0.1", port))
+        sock.setblocking(False)
+        sockets.append(sock)
+    unsent = dict[int, bytes]()  # the rest of a frame that was sent in part, by stream
+    started, attempts, sent, number = time.monotonic(), 0, 0, 0
+    flooding = SERVERS // 10
+    while (now := time.monotonic() - started) < seconds:
+        while attempts < rate * now:
             number += 1
-            k = number // 50 % SERVERS if number % 50 == 0 else number % flood
-            word = report(k, number, now)
+            k = number // 50 % SERVERS if number % 50 == 0 else number % flooding
+            frame = encode_report(k, number, now)
             if tcp:
-                word = rest.pop(k, b"") or len(word).to_bytes(4, "big") + word
+                frame = unsent.pop(k, b"") or len(frame).to_bytes(4, "big") + frame
             with contextlib.suppress(OSError):
-                took = wires[k].send(word)
-                sent_all += took == len(word)
-                if took < len(word):
-                    rest[k] = word[took:]
-            sent += 1
+                written = sockets[k].send(frame)
+                sent += written == len(frame)
+                if written < len(frame):
+                    unsent[k] = frame[written:]
+            attempts += 1
         time.sleep(0.0005)
-    print(sent_all)
+    print(sent)
 
 
-def resident() -> int:
-    """KiB of this process in memory now."""
+def resident_kib() -> int:
+    """Current resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize() // 1024
 
 
-def fleet(folder: str) -> str:
-    """A plan of GATEWAYS gateways, and SERVERS collectors that report."""
+def reporting_config(folder: str) -> str:
+    """The manager's configuration, with GATEWAYS gateways and SERVERS collectors that send load reports."""
     lines = list[str]()
-    for line in plan(folder, GATEWAYS, SERVERS).split("\n"):
+    for line in manager_config(folder, GATEWAYS, SERVERS).split("\n"):
         lines.append(line)
         if line.startswith("collector c"):
             k = int(line.removeprefix("collector c"))
@@ -119,95 +123,99 @@
 @click.command()
 @click.argument("rate", type=int)
 @click.option("--seconds", default=8.0)
-@click.option("--tcp", is_flag=True, help="One stream a server, instead of datagrams.")
-@click.option("--plain", is_flag=True, help="Datagrams are read in the manager's own process.")
-@click.option("--turns", default=1, help="Quiet and flooded stretches, of so many seconds each.")
-@click.option("--child", default=0, help="Sends to this port instead (used by the command itself).")
+@click.option("--tcp", is_flag=True, help="Send by one TCP stream per server instead of UDP.")
+@click.option("--plain", is_flag=True, help="Read datagrams in the manager's own process.")
+@click.option("--turns", default=1, help="Number of pairs of a quiet and a flooded phase.")
+@click.option("--child", default=0, help="Only send reports to this port (for internal use).")
 def main(rate: int, seconds: float, tcp: bool, plain: bool, turns: int, child: int) -> None:
-    """One row: RATE reports a second."""
+    """Prints one row of the table: RATE reports per second."""
     if child:
-        return send(child, rate, seconds, tcp)
+        return run_senders(child, rate, seconds, tcp)
     with tempfile.TemporaryDirectory() as folder:
         command = [sys.executable, "-m", "benchmarks.fleet", str(GATEWAYS), str(SERVERS), "--serve", folder]
         gateways = subprocess.Popen(command)
         try:
             time.sleep(2.0)
-            manager = Manager(parse_config(fleet(folder), "plan"), reactor, dial, None, Quiet())
+            manager = Manager(
+                parse_config(reporting_config(folder), "fleet.conf"), reactor, dial, None, NullLogger()
+            )
             measure(rate, seconds, tcp, plain, turns, manager)
         finally:
             gateways.kill()
             gateways.wait()
 
 
-def listen(manager: Manager, tcp: bool, plain: bool) -> int:
-    """Listens for reports in one of the three ways, and returns the port."""
+def start_listener(manager: Manager, tcp: bool, plain: bool) -> int:
+    """Listens for reports by TCP, in this process or in a receiver process. Returns the port."""
     if tcp:
         streams = reactor.listenTCP(0, ReportStreams(manager.desk, reactor), interface="127.0.0.1")
         return int(streams.getHost().port)
-    door = bind_report_socket(Address(host="127.0.0.1", port=0))
+    sock = bind_report_socket(Address(host="127.0.0.1", port=0))
     if plain:
-        port = reactor.adoptDatagramPort(door.fileno(), socket.AF_INET, Plain(manager.desk))
+        port = reactor.adoptDatagramPort(sock.fileno(), socket.AF_INET, InProcessReceiver(manager.desk))
         port.maxThroughput = UDP_READ_BUDGET
     else:
-        keeper = ReceiverSupervisor(manager.desk, door, print)
-        reactor.callWhenRunning(keeper.start)
-        reactor.addSystemEventTrigger("before", "shutdown", keeper.stop)
-        manager.lanes.append(keeper)
-    return int(door.getsockname()[1])
+        supervisor = ReceiverSupervisor(manager.desk, sock, print)
+        reactor.callWhenRunning(supervisor.start)
+        reactor.addSystemEventTrigger("before", "shutdown", supervisor.stop)
+        manager.lanes.append(supervisor)
+    return int(sock.getsockname()[1])
 
 
 def measure(rate: int, seconds: float, tcp: bool, plain: bool, turns: int, manager: Manager) -> None:
-    desk, port = manager.desk, listen(manager, tcp, plain)
-    late = {phase: list[tuple[float, float]]() for phase in ("settling", "quiet", "flood")}
-    cpu, phase, memory = dict.fromkeys(late, 0.0), ["settling"], list[int]()
-    draw = Random(1).random
-    held, floods, began, spent_at = list[int](), list[subprocess.Popen[str]](), [0.0], [0.0]
-
-    def beat(due: float) -> None:
-        by, own = reactor.seconds() - due, time.process_time() - spent_at[0]
-        late[phase[0]].append((1000 * by, 1000 * min(by, own)))
-        spent_at[0] += own
+    processor, port = manager.desk, start_listener(manager, tcp, plain)
+    delays = {phase: list[tuple[float, float]]() for phase in ("settling", "quiet", "flood")}
+    cpu_times, phase, memory = dict.fromkeys(delays, 0.0), ["settling"], list[int]()
+    next_random = Random(1).random
+    connected, senders, phase_started, tick_cpu = list[int](), list[subprocess.Popen[str]](), [0.0], [0.0]
+
+    def tick(due: float) -> None:
+        delay, own = reactor.seconds() - due, time.process_time() - tick_cpu[0]
+        delays[phase[0]].append((1000 * delay, 1000 * min(delay, own)))
+        tick_cpu[0] += own
         if phase[0] == "flood":
-            memory.append(resident())
-        due += BEAT * (0.5 + draw())
-        reactor.callLater(max(0.0, due - reactor.seconds()), beat, due)
-
-    def turn(now: str) -> None:
-        cpu[phase[0]] += time.process_time() - began[0]
-        phase[0], began[0] = now, time.process_time()
-        if now == "flood":
+            memory.append(resident_kib())
+        due += TICK_INTERVAL * (0.5 + next_random())
+        reactor.callLater(max(0.0, due - reactor.seconds()), tick, due)
+
+    def enter_phase(name: str) -> None:
+        cpu_times[phase[0]] += time.process_time() - phase_started[0]
+        phase[0], phase_started[0] = name, time.process_time()
+        if name == "flood":
             command = [sys.executable, "-m", "benchmarks.flood", str(rate), "--seconds", str(seconds)]
             command += ["--child", str(port)] + ["--tcp"] * tcp
-            floods.append(subprocess.Popen(command, stdout=subprocess.PIPE, text=True))
+            senders.append(subprocess.Popen(command, stdout=subprocess.PIPE, text=True))
 
-    def ended() -> None:
-        turn("settling")
-        held.append(len(manager.core.sessions))
+    def finish() -> None:
+        enter_phase("settling")
+        connected.append(len(manager.core.sessions))
 
     reactor.callWhenRunning(manager.start)
-    reactor.callLater(BEAT, beat, reactor.seconds() + BEAT)
+    reactor.callLater(TICK_INTERVAL, tick, reactor.seconds() + TICK_INTERVAL)
     for k in range(turns):
-        start = SETTLES + k * (2 * seconds + 1.5)  # what waits at a flood's end is no part of the next quiet
-        reactor.callLater(start, turn, "quiet")
-        reactor.callLater(start + seconds, turn, "flood")
-        reactor.callLater(start + 2 * seconds, ended if k == turns - 1 else lambda: turn("settling"))
-    reactor.callLater(SETTLES + turns * (2 * seconds + 1.5), reactor.stop)
+        start = SETTLE_TIME + k * (
+            2 * seconds + 1.5
+        )  # the 1.5 s drain the flood's backlog before the next quiet phase
+        reactor.callLater(start, enter_phase, "quiet")
+        reactor.callLater(start + seconds, enter_phase, "flood")
+        reactor.callLater(start + 2 * seconds, finish if k == turns - 1 else lambda: enter_phase("settling"))
+    reactor.callLater(SETTLE_TIME + turns * (2 * seconds + 1.5), reactor.stop)
     reactor.run()
-    # The manager steers all the while: what that costs is taken off by the quiet parts' own measure.
-    spent, flooded = cpu["flood"] - cpu["quiet"], turns * seconds
-    sent = sum(int(process.communicate()[0] or 0) for process in floods)
-    came = sum(desk.counts.values())
+    # The manager steers its gateways all the time. That cost is subtracted, as measured in the quiet phases.
+    report_cpu, flood_seconds = cpu_times["flood"] - cpu_times["quiet"], turns * seconds
+    sent = sum(int(process.communicate()[0] or 0) for process in senders)
+    received = sum(processor.counts.values())
     p99 = {
-        (name, which): sorted(pair[which] for pair in pairs)[int(0.99 * (len(pairs) - 1))]
-        for name, pairs in late.items()
-        for which in (0, 1)
+        (name, index): sorted(pair[index] for pair in pairs)[int(0.99 * (len(pairs) - 1))]
+        for name, pairs in delays.items()
+        for index in (0, 1)
     }
-    read = desk.counts[ReportOutcome.TAKEN] + desk.counts[ReportOutcome.LATE]
-    figures = (
-        sent / flooded,
-        came / flooded,
-        1e6 * spent / max(1, came),
-        100 * read / max(1, came),
+    read = processor.counts[ReportOutcome.TAKEN] + processor.counts[ReportOutcome.LATE]
+    columns = (
+        sent / flood_seconds,
+        received / flood_seconds,
+        1e6 * report_cpu / max(1, received),
+        100 * read / max(1, received),
         p99["quiet", 0],
         p99["flood", 0],
         p99["flood", 0] / p99["quiet", 0],
@@ -216,9 +224,9 @@
         p99["flood", 1] / p99["quiet", 1],
         float(memory[len(memory) // 10]),
         float(memory[-1]),
-        float(held[0]),
+        float(connected[0]),
     )
-    print(f"| {rate} | " + " | ".join(f"{figure:.2f}" for figure in figures) + " |")
+    print(f"| {rate} | " + " | ".join(f"{column:.2f}" for column in columns) + " |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -1,8 +1,9 @@
-"""Fuzzes the packet path: any bytes are answered or dropped, answers are bounded, no state grows with them.
+"""Fuzzes the DNS packet path. Any bytes must be answered or dropped, answers are bounded, and state does not
+grow.
 
     python -m benchmarks.fuzz_dns -runs=100000 -seed=1        (libFuzzer's options)
 
-Guided by which lines of our reader and of twisted.names a packet reaches; started from good questions.
+The fuzzer is guided by the coverage of rushladder.dnsfront and twisted.names and starts from valid queries.
 """
 
 from __future__ import annotations
@@ -23,42 +24,45 @@
 NAMES = (b"\4_ask\4_tcp\3svc\7example\0", b"\3ask\3svc\7example\0", b"\3svc\7example\0")
 
 
-def seeds() -> list[bytes]:
-    """Questions with and without options, as resolvers send them."""
-    found = list[bytes]()
+def seed_queries() -> list[bytes]:
+    """Valid queries with and without EDNS options, as resolvers send them."""
+    queries = list[bytes]()
     for name in NAMES:
-        for kind in (1, 6, 33, 255):
-            head, question = struct.pack("!6H", 7, 256, 1, 0, 0, 0), name + struct.pack("!2H", kind, 1)
-            found.append(head + question)
+        for record_type in (1, 6, 33, 255):
+            header, question = (
+                struct.pack("!6H", 7, 256, 1, 0, 0, 0),
+                name + struct.pack("!2H", record_type, 1),
+            )
+            queries.append(header + question)
             options = (
                 struct.pack("!4H4s", 8, 8, 1, 0x1000, b"\x0a\2\0\0") + struct.pack("!2H", 10, 8) + b"c" * 8
             )
             opt = b"\0" + struct.pack("!HHIH", 41, 1232, 0, len(options)) + options
-            found.append(head[:10] + b"\0\1" + question + opt)
-    return found
+            queries.append(header[:10] + b"\0\1" + question + opt)
+    return queries
 
 
-def one(data: bytes) -> None:
+def check_packet(data: bytes) -> None:
     front = DnsFuzz.front()
     for tcp in (False, True):
         answer = front.answer(data, "192.0.2.1", tcp)
         if answer and (len(answer) > MOST or not answer[2] & 0x80 or answer[:2] != data[:2]):
-            raise AssertionError(f"{data!r} was answered {answer!r}")
+            raise AssertionError(f"invalid answer {answer!r} to {data!r}")
     try:
         wire.read(data)
-    except wire.Unreadable as unreadable:
-        if len(unreadable.reply) > 12:
-            raise AssertionError(f"{data!r}: a refusal longer than a header") from None
+    except wire.Unreadable as error:
+        if len(error.reply) > 12:
+            raise AssertionError(f"{data!r}: the error answer is longer than a header") from None
     if len(front.limits) > 8 or sum(len(pool.askers.all()) for pool in front.pools.values()) > 8:
-        raise AssertionError("state grew with packets of one sender")
+        raise AssertionError("state grew with the packets of a single sender")
 
 
 def main() -> None:
     DnsFuzz.front()
     with tempfile.TemporaryDirectory() as corpus:
-        for place, seed in enumerate(seeds()):
-            Path(corpus, str(place)).write_bytes(seed)
-        atheris.Setup([*sys.argv, corpus], one)
+        for index, query in enumerate(seed_queries()):
+            Path(corpus, str(index)).write_bytes(query)
+        atheris.Setup([*sys.argv, corpus], check_packet)
         atheris.Fuzz()
 
 
--- a/benchmarks/mass.py
+++ b/benchmarks/mass.py
@@ -1,9 +1,10 @@
-"""A manager's start at the size of the standing test, on loopback: the time to its first PONG while all
-proxies dial at once, the time until each holds its table, memory, and processor time of ten seconds' beats.
+"""Start of a manager over loopback, at the size of the bench's standing test: the time to its first PONG
+while all proxies connect at once, the time until each has its table, memory, and the CPU time of ten seconds
+of ticks.
 
     python -m benchmarks.mass [--streams 150,400,1600] [--workers 200] [--tree DIR]
 
---tree: another checkout, to measure that one beside this; quote ratios of one hour.
+--tree measures another checkout, for comparison. Quote only ratios of runs on one machine within an hour.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 import click
 
-LIMIT = 60.0  # s that one measurement may take
+CONNECT_TIMEOUT = 60.0  # s until all proxies must have their tables
 
 
-def config(port: int, streams: int, workers: int) -> dict[str, Any]:
+def manager_config(port: int, streams: int, workers: int) -> dict[str, Any]:
     lanes = [
         {"deadline": 3000000, "idempotency": "retryable", "name": name, "points": 3.0, "target": 1200000}
         for name in ("ask", "tell", "pay")
@@ -55,7 +56,7 @@
             "me": 0,
             "membership_mode": "automatic",
             "lanes": lanes,
-            # Lines enough for all bindings in a second: what is measured is the manager, not its channel.
+            # Enough lines to bind all proxies within a second: the manager is measured, not its channel.
             "family_info": {
                 "bare": 8000000,
                 "egress_per_s": 40.0 * streams,
@@ -83,8 +84,8 @@
     }
 
 
-def used(pid: int) -> tuple[float, float]:
-    """Processor seconds and resident MB."""
+def process_usage(pid: int) -> tuple[float, float]:
+    """Returns the CPU time in seconds and the resident memory in MiB."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (
         (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"),
@@ -92,7 +93,8 @@
     )
 
 
-def dial(port: int) -> socket.socket:
+def connect(port: int) -> socket.socket:
+    """Starts a non-blocking connection."""
     sock = socket.socket()
     sock.setblocking(False)
     sock.connect_ex(("127.0.0.1", port))
@@ -100,13 +102,13 @@
 
 
 def measure(tree: Path, streams: int, workers: int) -> tuple[float, ...]:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    with tempfile.TemporaryDirectory() as held:
-        file = Path(held, "config.json")
-        file.write_text(json.dumps(config(port, streams, workers)))
-        began = time.monotonic()
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        port = listener.getsockname()[1]
+    with tempfile.TemporaryDirectory() as folder:
+        file = Path(folder, "config.json")
+        file.write_text(json.dumps(manager_config(port, streams, workers)))
+        started = time.monotonic()
         process = subprocess.Popen(
             [sys.executable, "-m", "rushladder.service.node"],
             cwd=tree,
@@ -114,61 +116,64 @@
             env={**os.environ, "RELAY_CONFIG": str(file)},
         )
         try:
-            return (*_crowd(port, streams, began), *_quiet(process.pid))
+            return (*_connect_all(port, streams, started), *_measure_ticks(process.pid))
         finally:
             process.kill()
             process.wait()
 
 
-def _crowd(port: int, streams: int, began: float) -> tuple[float, float]:
-    """All proxies dial until they are taken; one stranger asks for a sign of life."""
-    choose, waiting, pong, last = selectors.DefaultSelector(), set(range(-1, streams)), 0.0, 0.0
+def _connect_all(port: int, streams: int, started: float) -> tuple[float, float]:
+    """Connects all proxies, with retries, and one client that sends PING.
+
+    Returns the seconds from `started` to the PONG, and until all have received data (infinity on timeout).
+    """
+    selector, waiting, pong_time, last_time = selectors.DefaultSelector(), set(range(-1, streams)), 0.0, 0.0
     for number in waiting:
-        choose.register(dial(port), selectors.EVENT_WRITE, number)
-    kept = list[socket.socket]()
-    while waiting and time.monotonic() < began + LIMIT:
-        for key, _ in choose.select(0.05):
+        selector.register(connect(port), selectors.EVENT_WRITE, number)
+    connected = list[socket.socket]()
+    while waiting and time.monotonic() < started + CONNECT_TIMEOUT:
+        for key, _ in selector.select(0.05):
             sock: Any = key.fileobj
             number = key.data
             if key.events == selectors.EVENT_WRITE:
                 if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                    choose.unregister(sock)
+                    selector.unregister(sock)
                     sock.close()
-                    time.sleep(0.0005)  # nobody listens yet
-                    choose.register(dial(port), selectors.EVENT_WRITE, number)
+                    time.sleep(0.0005)  # the manager does not listen yet
+                    selector.register(connect(port), selectors.EVENT_WRITE, number)
                     continue
                 sock.send(
                     b"PING\r\n"
                     if number < 0
                     else f"SUBSCRIBE proxy={number} zone={'ab'[number % 2]} weight=12 fresh=1\r\n".encode()
                 )
-                choose.modify(sock, selectors.EVENT_READ, number)
+                selector.modify(sock, selectors.EVENT_READ, number)
                 continue
             try:
-                said = sock.recv(65536)
+                received = sock.recv(65536)
             except OSError:
-                said = b""
-            last = time.monotonic() - began
+                received = b""
+            last_time = time.monotonic() - started
             if number < 0:
-                pong = pong or last
-            if said:
-                kept.append(sock)
+                pong_time = pong_time or last_time
+            if received:
+                connected.append(sock)
             waiting.discard(number)
-            choose.unregister(sock)
-    held.extend(kept)
-    return pong, last if not waiting else float("inf")
+            selector.unregister(sock)
+    open_connections.extend(connected)
+    return pong_time, last_time if not waiting else float("inf")
 
 
-held = list[socket.socket]()  # joined while the beats are measured
+open_connections = list[socket.socket]()  # proxies that stay connected while the ticks are measured
 
 
-def _quiet(pid: int) -> tuple[float, float]:
-    before, _ = used(pid)
+def _measure_ticks(pid: int) -> tuple[float, float]:
+    before, _ = process_usage(pid)
     time.sleep(10.0)
-    after, memory = used(pid)
-    for sock in held:
+    after, memory = process_usage(pid)
+    for sock in open_connections:
         sock.close()
-    held.clear()
+    open_connections.clear()
     return after - before, memory
 
 
@@ -177,10 +182,10 @@
 @click.option("--workers", default=200)
 @click.option("--tree", default=".")
 def main(streams: str, workers: int, tree: str) -> None:
-    print("streams  first PONG s  all bound s  ten s of beats, cpu s  memory MB")
+    print("streams  first PONG s  all bound s  CPU s / 10 s of ticks memory MiB")
     for count in map(int, streams.split(",")):
-        figures = measure(Path(tree).resolve(), count, workers)
-        print(f"{count:7}{figures[0]:14.2f}{figures[1]:13.2f}{figures[2]:23.2f}{figures[3]:11.1f}")
+        values = measure(Path(tree).resolve(), count, workers)
+        print(f"{count:7}{values[0]:14.2f}{values[1]:13.2f}{values[2]:23.2f}{values[3]:11.1f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -1,9 +1,11 @@
-"""How soon a manager that was killed steers well again: with memory, without, and with a wrong one of a day
-ago.
+"""How soon a killed manager steers as well as before: with its memory, without it, and with a wrong memory
+that is a day old.
 
-Managers and gateways in memory on a virtual clock; one of a region's servers is three times slower than
-listed. The figure is how long after the start the part of that server stays off what it was before, by more
-than a tenth of an even part, added up over all gateways and products (parts x seconds)."""
+Managers and gateways run in one process on a virtual clock. One server of a region is three times slower than
+its listed size. The result is how far that server's share of the weights is from its share before the kill,
+less a tolerance of a tenth of an even share, summed over the seconds after the restart. Shares are means over
+gateways and products.
+"""
 
 from __future__ import annotations
 
@@ -14,52 +16,53 @@
 from tests.test_restarts import Remembered
 
 SLOW, SERVERS = "s0", 8
-WATCHED = 40  # s after the start
+OBSERVED = 40  # s after the restart
 
 
-def part(world: Remembered) -> float:
-    parts = [world.usable_weights(site, product) for site in ("g0", "g2") for product in ("ask", "pay")]
-    return sum(lines.get(SLOW, 0) / max(1, sum(lines.values())) for lines in parts) / len(parts)
+def slow_server_share(world: Remembered) -> float:
+    """Returns the slow server's mean share of the weights."""
+    tables = [world.usable_weights(site, product) for site in ("g0", "g2") for product in ("ask", "pay")]
+    return sum(lines.get(SLOW, 0) / max(1, sum(lines.values())) for lines in tables) / len(tables)
 
 
-def mislead(world: Remembered) -> None:
-    """Of a day ago, the slow server fast and the others slow."""
-    folder, at = Folder(), int(1000 * world.wall()) - DAY
-    log = Log(folder, world.fleet, "m0", MINORS, wall=lambda: at)
+def write_wrong_memory(world: Remembered) -> None:
+    """Replaces m0's memory with one of a day ago, in which the slow server is fast and the others slow."""
+    folder, written_at = Folder(), int(1000 * world.wall()) - DAY
+    log = Log(folder, world.fleet, "m0", MINORS, wall=lambda: written_at)
     log.open()
     for k in range(SERVERS):
         pace = 2.0 if f"s{k}" == SLOW else 0.4
-        memory = ServerMemory(at=at, region="ab"[k % 2], model="any", pace=pace, factor=pace)
+        memory = ServerMemory(at=written_at, region="ab"[k % 2], model="any", pace=pace, factor=pace)
         log.put(Kind.SERVER, f"s{k}", memory.SerializeToString())
     log.commit()
     world.folders["m0"] = folder
 
 
 def main() -> None:
-    print("| memory | part before | off it, parts x s | settled after (s) |")
+    print("| memory | share before | deviation, share x s | settled after (s) |")
     print("| --- | --- | --- | --- |")
-    for how in ("none", "kept", "a day old and wrong"):
+    for memory_state in ("none", "kept", "a day old and wrong"):
         world = Remembered(gateways=4, servers=SERVERS)
         world.service_time = {SLOW: 0.45}
         world.run(60, 20)
-        before = part(world)
+        share_before = slow_server_share(world)
         world.kill("m0")
         world.run(1, 20)
-        if how == "none":
+        if memory_state == "none":
             world.folders["m0"] = Folder()
-        elif how != "kept":
-            mislead(world)
-        # The gateways lost their tables too: nothing is left of what was learned but the memory.
+        elif memory_state != "kept":
+            write_wrong_memory(world)
+        # The gateways restart too and lose their tables, so that only the memory keeps what was learned.
         for site in world.sites:
             world.start_gateway(site, pid=2)
         world.start_manager("m0")
-        off, settled = 0.0, 0.0
-        for second in range(WATCHED):
+        deviation, settled = 0.0, 0.0
+        for second in range(OBSERVED):
             world.run(1, 20)
-            far = abs(part(world) - before) - 0.1 / (SERVERS / 2)
-            off += max(0.0, far)
-            settled = second + 1.0 if far > 0 else settled
-        print(f"| {how} | {before:.3f} | {off:.2f} | {settled:.0f} |")
+            excess = abs(slow_server_share(world) - share_before) - 0.1 / (SERVERS / 2)
+            deviation += max(0.0, excess)
+            settled = second + 1.0 if excess > 0 else settled
+        print(f"| {memory_state} | {share_before:.3f} | {deviation:.2f} | {settled:.0f} |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/skew.py
+++ b/benchmarks/skew.py
@@ -1,5 +1,6 @@
-"""How far the load of DNS clients is from the weights, by load and by answers: plays the skewed day in each
-way at once, several times, prints a table and draws it."""
+"""How far the load from DNS clients deviates from the weights when it is split by answers and by load. Plays
+the day with skewed clients with both splits at once, several times; prints a table and optionally draws it.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +19,14 @@
 from rushladder.trials.day import read_day
 from rushladder.trials.judge import dns_error, load
 
-NAMED = (1, 2, 4)  # servers of an answer; the two ways of each are played at once
+SERVERS_NAMED = (1, 2, 4)  # servers per answer; both splits of each run at the same time
 
 
-def error(folder: Path) -> float:
+def measure_error(folder: Path) -> float:
     rows = load(folder)
     begins, ends = (
-        next(r["t"] for r in rows if r["ev"] == "day" and r["what"] == w) for w in ("begins", "ends")
+        next(row["t"] for row in rows if row["ev"] == "day" and row["what"] == event)
+        for event in ("begins", "ends")
     )
     return dns_error(rows, begins, ends)
 
@@ -32,35 +34,39 @@
 @click.command()
 @click.option("--day", default="trials/skewed.day", type=click.Path(exists=True, dir_okay=False))
 @click.option("--runs", default=2)
-@click.option("--out", type=click.Path(dir_okay=False), help="Draws the table to this file.")
+@click.option("--out", type=click.Path(dir_okay=False), help="Write a chart to this file.")
 def main(day: str, runs: int, out: str | None) -> None:
-    text, found = Path(day).read_text(), dict[tuple[str, int], list[float]]()
-    for named in (named for _ in range(runs) for named in NAMED):
-        with tempfile.TemporaryDirectory(prefix="rl") as made:
-            started = list[tuple[tuple[str, int], Path, subprocess.Popen[bytes]]]()
+    text, errors = Path(day).read_text(), dict[tuple[str, int], list[float]]()
+    for named in (named for _ in range(runs) for named in SERVERS_NAMED):
+        with tempfile.TemporaryDirectory(prefix="rl") as folder:
+            running = list[tuple[tuple[str, int], Path, subprocess.Popen[bytes]]]()
             for split in ("answers", "load"):
-                file, kept = Path(made, f"{split}{named}.day"), Path(made, f"{split}{named}")
+                file, records = Path(folder, f"{split}{named}.day"), Path(folder, f"{split}{named}")
                 file.write_text(
                     text.replace("    load", f"    dns split {split}\n    dns named {named}\n    load", 1)
                 )
                 read_day(file.read_text(), str(file))
-                command = [sys.executable, "-m", "rushladder", "trial", str(file), "--keep", str(kept)]
-                started.append(((split, named), kept, subprocess.Popen(command, stdout=subprocess.DEVNULL)))
-            for way, kept, process in started:
+                command = [sys.executable, "-m", "rushladder", "trial", str(file), "--keep", str(records)]
+                running.append(
+                    ((split, named), records, subprocess.Popen(command, stdout=subprocess.DEVNULL))
+                )
+            for variant, records, process in running:
                 if process.wait():
-                    print(f"{way}: a rule was broken, or the day could not be played", file=sys.stderr)
+                    print(f"{variant}: the trial broke a rule or could not be played", file=sys.stderr)
                     continue
-                found.setdefault(way, []).append(error(kept))
+                errors.setdefault(variant, []).append(measure_error(records))
     print("| servers named | by answers | by load |\n| --- | --- | --- |")
-    for named in NAMED:
-        cells = [", ".join(f"{one:.1%}" for one in found[split, named]) for split in ("answers", "load")]
+    for named in SERVERS_NAMED:
+        cells = [", ".join(f"{error:.1%}" for error in errors[split, named]) for split in ("answers", "load")]
         print(f"| {named} | {cells[0]} | {cells[1]} |")
     if out:
         for offset, split in ((-0.2, "answers"), (0.2, "load")):
-            means = [100 * fmean(found[split, named]) for named in NAMED]
-            pyplot.bar([place + offset for place in range(3)], means, width=0.38, label=f"split by {split}")
+            means = [100 * fmean(errors[split, named]) for named in SERVERS_NAMED]
+            pyplot.bar(
+                [position + offset for position in range(3)], means, width=0.38, label=f"split by {split}"
+            )
         pyplot.xticks(range(3), ["1 named", "2 named", "4 named"])
-        pyplot.ylabel("load off its weights (%)")
+        pyplot.ylabel("deviation of load from weights (%)")
         pyplot.legend()
         pyplot.savefig(out, dpi=100, bbox_inches="tight")
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,6 +1,7 @@
-"""What keeping costs: records a second and the time of a batch, against one JSON file that is rewritten and
-renamed; reading back by size; and how long a compaction takes. Everything on the folder that is given, with
-real syncs."""
+"""Cost of the store, with real syncs in a temporary folder: time and CPU time of writing a batch, against a
+baseline that rewrites and renames one JSON file; time to read back by size; time of a compaction; records per
+second.
+"""
 
 from __future__ import annotations
 
@@ -22,159 +23,163 @@
 from rushladder.store.store_pb2 import ServerMemory
 from rushladder.store.writer import write_batch
 
-BEATS = 200
-CHANGED = 0.05  # part of the servers whose record changes a beat: a busy second of a larger fleet
+BATCHES = 200
+CHANGED = 0.05  # share of the servers whose record changes per batch, as in a busy second of a larger fleet
 
 
-def payload(draw: Random) -> bytes:
-    pace, factor = draw.random() + 0.5, draw.random() + 0.5
+def random_payload(rng: Random) -> bytes:
+    pace, factor = rng.random() + 0.5, rng.random() + 0.5
     memory = ServerMemory(at=1_700_000_000_000, region="gent-1", model="large", pace=pace, factor=factor)
     return memory.SerializeToString()
 
 
-class Json:
-    """The plain way: everything in one file, written whole beside, synced, renamed."""
+class JsonFile:
+    """The baseline: all records in one file, which is written to a new file, synced and renamed."""
 
     def __init__(self, folder: str) -> None:
         self._path, self._state = Path(folder, "state.json"), dict[str, str]()
 
     def write(self, batch: dict[str, bytes]) -> None:
         self._state |= {key: value.hex() for key, value in batch.items()}
-        other = self._path.with_suffix(".new")
-        with open(other, "w") as file:
+        new_path = self._path.with_suffix(".new")
+        with open(new_path, "w") as file:
             json.dump(self._state, file)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(other, self._path)
-        handle = os.open(self._path.parent, os.O_RDONLY)
-        os.fsync(handle)
-        os.close(handle)
+        os.replace(new_path, self._path)
+        directory = os.open(self._path.parent, os.O_RDONLY)
+        os.fsync(directory)
+        os.close(directory)
 
     def read(self) -> int:
         return len(json.loads(self._path.read_text()))
 
 
-def part(values: list[float], of: float) -> float:
-    """Milliseconds."""
-    return 1000 * sorted(values)[int(of * (len(values) - 1))]
+def percentile_ms(values: list[float], quantile: float) -> float:
+    """Returns a quantile of times in seconds, in milliseconds."""
+    return 1000 * sorted(values)[int(quantile * (len(values) - 1))]
 
 
 @click.command()
-@click.option("--chart", type=click.Path(dir_okay=False), help="Writes a chart of the batches' times.")
+@click.option("--chart", type=click.Path(dir_okay=False), help="Write a chart of batch times to this file.")
 def main(chart: str | None) -> None:
-    """Prints the tables of docs/performance.md."""
-    print("| servers | way | batch p50 (ms) | p99 (ms) | CPU a batch (ms) | bytes written a batch |")
+    """Prints the store's tables of docs/performance.md."""
+    print("| servers | format | batch p50 (ms) | p99 (ms) | CPU per batch (ms) | bytes written per batch |")
     print("| --- | --- | --- | --- | --- | --- |")
-    shown = dict[str, float]()
+    p99_times = dict[str, float]()
     for servers in (10, 99, 990, 9900):
-        for way in ("plain", "log"):
+        for variant in ("plain", "log"):
             with tempfile.TemporaryDirectory() as folder:
-                shown[f"{servers} {way}"] = batches(folder, servers, way)
-    print("\n| records | plain read (ms) | log read (ms) | compaction (ms) | on disk (KiB) |")
+                p99_times[f"{servers} {variant}"] = measure_batches(folder, servers, variant)
+    print("\n| records | baseline read (ms) | log read (ms) | compaction (ms) | on disk (KiB) |")
     print("| --- | --- | --- | --- | --- |")
     for servers in (99, 990, 9900, 49_500):
         with tempfile.TemporaryDirectory() as folder:
-            recovery(folder, servers)
-    beats()
-    framing()
+            measure_recovery(folder, servers)
+    measure_updates()
+    measure_framing()
     if chart:
-        draw_chart(chart, shown)
+        draw_chart(chart, p99_times)
 
 
-def draw_chart(path: str, shown: dict[str, float]) -> None:
+def draw_chart(path: str, p99_times: dict[str, float]) -> None:
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    sizes = list(dict.fromkeys(name.split()[0] for name in shown))
-    for offset, way in ((-0.2, "plain"), (0.2, "log")):
-        places = [place + offset for place in range(len(sizes))]
-        axes.bar(places, [shown[f"{size} {way}"] for size in sizes], width=0.38, label=way)
-    axes.set(title="a batch on disk, p99 (ms)", yscale="log", xlabel="servers, a twentieth changed a batch")
+    sizes = list(dict.fromkeys(name.split()[0] for name in p99_times))
+    for offset, variant in ((-0.2, "plain"), (0.2, "log")):
+        positions = [position + offset for position in range(len(sizes))]
+        axes.bar(positions, [p99_times[f"{size} {variant}"] for size in sizes], width=0.38, label=variant)
+    axes.set(title="writing a batch, p99 (ms)", yscale="log", xlabel="servers, 5% of them changed per batch")
     axes.set_xticks(range(len(sizes)), sizes)
     axes.legend()
     figure.savefig(path, dpi=100, bbox_inches="tight")
 
 
-def batches(folder: str, servers: int, way: str) -> float:
-    draw = Random(1)
+def measure_batches(folder: str, servers: int, variant: str) -> float:
+    """Prints a row of the first table and returns the p99."""
+    rng = Random(1)
     names = [f"collector-{k}" for k in range(servers)]
-    log, plain = Log(Disk(folder), "fleet", "m1", MINORS), Json(folder)
+    log, baseline = Log(Disk(folder), "fleet", "m1", MINORS), JsonFile(folder)
     log.open()
-    start = {name: payload(draw) for name in names}
+    start = {name: random_payload(rng) for name in names}
     write_batch(log, {(int(Kind.SERVER), name): value for name, value in start.items()})
-    plain.write(start)
-    took, cpu, sizes = list[float](), time.process_time(), list[int]()
-    for _ in range(BEATS):
-        batch = {name: payload(draw) for name in draw.sample(names, max(1, round(CHANGED * servers)))}
-        began = time.perf_counter()
-        if way == "log":
+    baseline.write(start)
+    times, cpu, sizes = list[float](), time.process_time(), list[int]()
+    for _ in range(BATCHES):
+        batch = {name: random_payload(rng) for name in rng.sample(names, max(1, round(CHANGED * servers)))}
+        started = time.perf_counter()
+        if variant == "log":
             write_batch(log, {(int(Kind.SERVER), name): value for name, value in batch.items()})
         else:
-            plain.write(batch)
-        took.append(time.perf_counter() - began)
+            baseline.write(batch)
+        times.append(time.perf_counter() - started)
         sizes.append(
             sum(len(value) + 40 for value in batch.values())
-            if way == "log"
+            if variant == "log"
             else Path(folder, "state.json").stat().st_size
         )
-    cpu = 1000 * (time.process_time() - cpu) / BEATS
-    figures = (part(took, 0.5), part(took, 0.99), cpu, sum(sizes) / BEATS)
-    print(f"| {servers} | {way} | " + " | ".join(f"{figure:.2f}" for figure in figures) + " |")
-    return figures[1]
+    cpu = 1000 * (time.process_time() - cpu) / BATCHES
+    columns = (percentile_ms(times, 0.5), percentile_ms(times, 0.99), cpu, sum(sizes) / BATCHES)
+    print(f"| {servers} | {variant} | " + " | ".join(f"{column:.2f}" for column in columns) + " |")
+    return columns[1]
 
 
-def recovery(folder: str, servers: int) -> None:
-    draw, disk = Random(2), Disk(folder)
-    log, plain = Log(disk, "fleet", "m1", MINORS), Json(folder)
+def measure_recovery(folder: str, servers: int) -> None:
+    rng, disk = Random(2), Disk(folder)
+    log, baseline = Log(disk, "fleet", "m1", MINORS), JsonFile(folder)
     log.open()
-    state = {f"collector-{k}": payload(draw) for k in range(servers)}
-    plain.write(state)
+    state = {f"collector-{k}": random_payload(rng) for k in range(servers)}
+    baseline.write(state)
     write_batch(log, {(int(Kind.SERVER), name): value for name, value in state.items()})
-    began = time.perf_counter()
+    started = time.perf_counter()
     log.snapshot()
-    compacted = time.perf_counter() - began
+    compaction = time.perf_counter() - started
     for _ in range(20):
-        some = draw.sample(list(state), max(1, servers // 20))
-        write_batch(log, {(int(Kind.SERVER), name): payload(draw) for name in some})
+        changed = rng.sample(list(state), max(1, servers // 20))
+        write_batch(log, {(int(Kind.SERVER), name): random_payload(rng) for name in changed})
     size = sum(len(disk.read(name)) for name in disk.names() if name != "state.json") / 1024
     disk.close()
-    began = time.perf_counter()
-    plain.read()
-    plainly = time.perf_counter() - began
-    again = Log(Disk(folder), "fleet", "m1", MINORS)
-    began = time.perf_counter()
-    again.open()
-    took = time.perf_counter() - began
-    assert len(again.state) == servers
-    print(f"| {servers} | {1000 * plainly:.1f} | {1000 * took:.1f} | {1000 * compacted:.1f} | {size:.0f} |")
-
-
-def beats() -> None:
-    """What a beat itself spends on noting what moved; the disk is the thread's."""
-    print("\n| servers | noting a beat p50 (ms) | p99 (ms) |")
+    started = time.perf_counter()
+    baseline.read()
+    baseline_time = time.perf_counter() - started
+    reopened = Log(Disk(folder), "fleet", "m1", MINORS)
+    started = time.perf_counter()
+    reopened.open()
+    log_time = time.perf_counter() - started
+    assert len(reopened.state) == servers
+    print(
+        f"| {servers} | {1000 * baseline_time:.1f} | {1000 * log_time:.1f} | {1000 * compaction:.1f} | "
+        f"{size:.0f} |"
+    )
+
+
+def measure_updates() -> None:
+    """Time that a tick spends on collecting changed records. They are written to disk by another thread."""
+    print("\n| servers | update per tick p50 (ms) | p99 (ms) |")
     print("| --- | --- | --- |")
     for servers in (99, 990, 9900):
-        draw, book, took = Random(4), ServerRecords({}), list[float]()
+        rng, records, times = Random(4), ServerRecords({}), list[float]()
         known = [ServerKnowledge(f"collector-{k}", "gent-1", "large", 1.0, 1.0, 9.0) for k in range(servers)]
-        for beat in range(BEATS):
-            for k in draw.sample(range(servers), round(CHANGED * servers)):
-                known[k] = attrs.evolve(known[k], pace=0.5 + draw.random())
-            began = time.perf_counter()
-            book.update(known, 1_700_000_000_000 + 1000 * beat)
-            took.append(time.perf_counter() - began)
-        print(f"| {servers} | {part(took[1:], 0.5):.2f} | {part(took[1:], 0.99):.2f} |")
-
-
-def framing() -> None:
-    record = Record(1, 1, 0, "collector-17", payload(Random(3)))
-    many, began = 50_000, time.perf_counter()
-    data = b"".join(encode_frame(record) for _ in range(many))
-    wrote = time.perf_counter() - began
-    began = time.perf_counter()
-    read = sum(1 for _ in decode_frames(data))
-    took = time.perf_counter() - began
-    print(f"\n{many / wrote:.0f} records a second framed, {read / took:.0f} read and proven")
+        for tick in range(BATCHES):
+            for k in rng.sample(range(servers), round(CHANGED * servers)):
+                known[k] = attrs.evolve(known[k], pace=0.5 + rng.random())
+            started = time.perf_counter()
+            records.update(known, 1_700_000_000_000 + 1000 * tick)
+            times.append(time.perf_counter() - started)
+        print(f"| {servers} | {percentile_ms(times[1:], 0.5):.2f} | {percentile_ms(times[1:], 0.99):.2f} |")
+
+
+def measure_framing() -> None:
+    record = Record(1, 1, 0, "collector-17", random_payload(Random(3)))
+    count, started = 50_000, time.perf_counter()
+    data = b"".join(encode_frame(record) for _ in range(count))
+    encode_time = time.perf_counter() - started
+    started = time.perf_counter()
+    decoded = sum(1 for _ in decode_frames(data))
+    decode_time = time.perf_counter() - started
+    print(f"\n{count / encode_time:.0f} records/s encoded, {decoded / decode_time:.0f} decoded and checked")
 
 
 if __name__ == "__main__":
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,9 +1,10 @@
-"""What one manager's work costs on the platform's road, by the number of its streams: processor time of a
-mass joining, of beats under reports, of a release that replaces a tenth of the workers, and of a mass return.
+"""CPU time of one manager on the platform by the number of its streams: when all proxies join at once, during
+ticks with load reports, in a release that replaces a tenth of the workers, and in a reconnect storm.
 
     python -m benchmarks.streams [--streams 150,400,1600] [--workers 200]
 
-Run with another checkout on PYTHONPATH to measure that one; quote ratios of one machine and hour.
+Run it with another checkout on PYTHONPATH to measure that one. Quote only ratios of runs on one machine
+within an hour.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 )
 from rushladder.streams.host import StreamHost
 
-SECOND = 10_000
+SECOND = 10_000  # in tenths of a millisecond
 ZONES = ("a", "b")
 PRODUCTS = tuple(
     Product(name, 12_000, 30_000, 3.0, 0.1, Idempotency.INQUIRY_LIKE, "all", 50_000)
@@ -38,8 +39,8 @@
 )
 
 
-class Sink:
-    """A stream that takes everything, and answers marks a second later."""
+class NullStream:
+    """A stream that accepts and discards all messages. `Simulation.wait` acknowledges its marks."""
 
     def send(self, message: bytes) -> None:
         pass
@@ -48,12 +49,14 @@
         pass
 
 
-class Bench:
+class Simulation:
+    """A manager's stream host with simulated proxies, workers and time."""
+
     def __init__(self, streams: int, workers: int) -> None:
         self.now, self.streams, self.version = 1000 * SECOND, streams, 0
         self.workers = Workers()
         self.catalog = Catalog(self.workers, lambda ms: int(ms) * 10, lambda kind, why: None)
-        # The channel grows with the proxies, as the platform's own does: five lines a second for each.
+        # The channel's rate grows with the number of proxies, as on the platform: 5.4 lines/s for each.
         self.host = StreamHost(
             7,
             {
@@ -73,10 +76,10 @@
             lambda peer, data: None,
         )
         self.names = [f"s-{k:08x}" for k in range(workers)]
-        self.sinks: dict[int, Sink] = {}
-        self._listed(self.names, full=True)
+        self.proxies: dict[int, NullStream] = {}
+        self._apply_list(self.names, full=True)
 
-    def _listed(self, names: list[str], state: str = "ready", full: bool = False) -> None:
+    def _apply_list(self, names: list[str], state: str = "ready", full: bool = False) -> None:
         self.version += 1
         servers = [
             {
@@ -91,86 +94,95 @@
             }
             for name in names
         ]
-        told = self.catalog.read_line(
+        event = self.catalog.read_line(
             json.dumps({"version": self.version, "full": full, "servers": servers}).encode()
         )
-        self.host.process_batch(self.now, [told] if told else [])
+        self.host.process_batch(self.now, [event] if event else [])
 
     def join(self) -> None:
-        """All come within half a second, some at a time."""
+        """All proxies join, in groups of 32 that are 10 ms apart: 1,600 proxies within half a second."""
         for first in range(0, self.streams, 32):
             events = list[Event]()
             for number in range(first, min(first + 32, self.streams)):
-                self.sinks[number] = Sink()
-                events += self.host.join(number, ZONES[number % 2], 12.0, True, self.sinks[number])
+                self.proxies[number] = NullStream()
+                events += self.host.join(number, ZONES[number % 2], 12.0, True, self.proxies[number])
             self.now += 100
             self.host.process_batch(self.now, events)
         self.wait(3.0)
 
     def wait(self, seconds: float) -> None:
-        """Marks are answered, reminders come due, reports come in, a few in each turn."""
-        end = self.now + int(seconds * SECOND)
-        turn = 0
-        while self.now < end:
-            self.now, turn = self.now + 500, turn + 1
+        """Lets time pass in steps of 50 ms.
+
+        In each step reminders come due, some proxies acknowledge their marks, and some send reports.
+        """
+        until = self.now + int(seconds * SECOND)
+        step = 0
+        while self.now < until:
+            self.now, step = self.now + 500, step + 1
             events = list[Event]()
-            for port in self.host.joined_proxies.values():
-                if port.unanswered_marks and port.gateway.name[-1] == str(turn % 10):
-                    mark = max(port.unanswered_marks)
-                    if self.host.acknowledge(port, mark):
-                        events.append(Applied(port.gateway, mark, SECOND))
-                if int(port.gateway.name) % 20 == turn % 20:
-                    events += [Arrivals(port.gateway, product, 4, 0, SECOND) for product in PRODUCTS]
-            for place, name in enumerate(self.names):
+            for proxy in self.host.joined_proxies.values():
+                if proxy.unanswered_marks and proxy.gateway.name[-1] == str(step % 10):
+                    mark = max(proxy.unanswered_marks)
+                    if self.host.acknowledge(proxy, mark):
+                        events.append(Applied(proxy.gateway, mark, SECOND))
+                if int(proxy.gateway.name) % 20 == step % 20:
+                    events += [Arrivals(proxy.gateway, product, 4, 0, SECOND) for product in PRODUCTS]
+            for index, name in enumerate(self.names):
                 server = self.workers.get(name)
-                if server is not None and place % 20 == turn % 20:
+                if server is not None and index % 20 == step % 20:
                     events.append(Tries(server, server.zone, 60, 1, SECOND, 2_000))
             self.host.process_batch(self.now, events)
 
     def release(self) -> None:
+        """Replaces a tenth of the workers."""
         tenth = len(self.names) // 10
         old, self.names = self.names[:tenth], self.names[tenth:]
-        self._listed(old, "draining")
+        self._apply_list(old, "draining")
         new = [f"s-{self.version:04x}{k:04x}" for k in range(tenth)]
         self.names += new
-        self._listed(new)
+        self._apply_list(new)
         self.wait(5.0)
 
-    def back(self) -> None:
-        """Half of the streams break and come again."""
+    def reconnect(self) -> None:
+        """Half of the streams break and join again."""
         events = list[Event]()
         for number in range(0, self.streams, 2):
-            left = self.host.leave(number, self.sinks[number])
-            events += [left] if left else []
+            event = self.host.leave(number, self.proxies[number])
+            events += [event] if event else []
         self.host.process_batch(self.now, events)
         for first in range(0, self.streams, 64):
             events = []
             for number in range(first, min(first + 64, self.streams), 2):
-                self.sinks[number] = Sink()
-                events += self.host.join(number, ZONES[number // 2 % 2], 12.0, False, self.sinks[number])
+                self.proxies[number] = NullStream()
+                events += self.host.join(number, ZONES[number // 2 % 2], 12.0, False, self.proxies[number])
             self.now += 100
             self.host.process_batch(self.now, events)
         self.wait(3.0)
 
 
-def timed(do: Callable[..., Any], *arguments: Any) -> float:
-    began = time.process_time()
-    do(*arguments)
-    return time.process_time() - began
+def cpu_time(function: Callable[..., Any], *arguments: Any) -> float:
+    started = time.process_time()
+    function(*arguments)
+    return time.process_time() - started
 
 
 @click.command()
 @click.option("--streams", default="150,400,1600")
 @click.option("--workers", default=200)
 def main(streams: str, workers: int) -> None:
-    print("streams  join s  ten quiet s  release s  return s   messages  lines")
+    print("streams    join s   ticks s release s   storm s   messages   lines")
     for count in map(int, streams.split(",")):
-        bench = Bench(count, workers)
-        figures = [timed(bench.join), timed(bench.wait, 10.0), timed(bench.release), timed(bench.back)]
+        simulation = Simulation(count, workers)
+        times = [
+            cpu_time(simulation.join),
+            cpu_time(simulation.wait, 10.0),
+            cpu_time(simulation.release),
+            cpu_time(simulation.reconnect),
+        ]
         print(
             f"{count:7}"
-            + "".join(f"{figure:10.3f}" for figure in figures)
-            + f"  {bench.host.messages:9}{bench.host.lines:8}"
+            + "".join(f"{seconds:10.3f}" for seconds in times)
+            + f"  {simulation.host.messages:9}{simulation.host.lines:8}"
         )
 
 
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -1,5 +1,6 @@
-"""Wheel, heavy hitters, quantiles and batch decoding, each beside the plain way: nanoseconds of CPU an
-operation."""
+"""Timing wheel, heavy hitters, quantile sketch and sampled decoding, each against a simple baseline. Prints
+nanoseconds of CPU time per operation.
+"""
 
 from __future__ import annotations
 
@@ -15,79 +16,81 @@
 from rushladder.structures.quantiles import QuantileSketch
 from rushladder.structures.timing_wheel import TimingWheel
 
-MANY = 200_000
+OPERATIONS = 200_000
 
 
-def cost(work: Callable[[], None]) -> float:
-    began = time.process_time_ns()
-    work()
-    return (time.process_time_ns() - began) / MANY
+def cpu_ns(function: Callable[[], None]) -> float:
+    """Returns the CPU time per operation."""
+    started = time.process_time_ns()
+    function()
+    return (time.process_time_ns() - started) / OPERATIONS
 
 
-def expiry(keys: int) -> tuple[float, float]:
-    """Each report moves its server's expiry by 5 s; a tenth of a second passes each 2,000 reports."""
-    draw = Random(1)
-    some = [draw.randrange(keys) for _ in range(MANY)]
+def measure_expiry(keys: int) -> tuple[float, float]:
+    """Each report postpones its server's expiry to 5 s later. 2,000 reports arrive in a tenth of a second."""
+    rng = Random(1)
+    reports = [rng.randrange(keys) for _ in range(OPERATIONS)]
 
     def wheel() -> None:
-        times = TimingWheel[int](1000, 0)
-        for turn, key in enumerate(some):
-            now = turn // 2
-            times.set(key, now + 50_000)
-            if turn % 2000 == 0:
-                times.advance(now)
-
-    def heap() -> None:  # a heap with entries left behind, thrown out as they come up
-        times, latest = list[tuple[int, int]](), dict[int, int]()
-        for turn, key in enumerate(some):
-            now = turn // 2
+        timing_wheel = TimingWheel[int](1000, 0)
+        for index, key in enumerate(reports):
+            now = index // 2
+            timing_wheel.set(key, now + 50_000)
+            if index % 2000 == 0:
+                timing_wheel.advance(now)
+
+    def heap() -> None:
+        # Superseded entries stay in the heap until they are due.
+        entries, latest = list[tuple[int, int]](), dict[int, int]()
+        for index, key in enumerate(reports):
+            now = index // 2
             latest[key] = now + 50_000
-            heapq.heappush(times, (now + 50_000, key))
-            if turn % 2000 == 0:
-                while times and times[0][0] <= now:
-                    at, gone = heapq.heappop(times)
-                    if latest.get(gone) == at:
-                        del latest[gone]
+            heapq.heappush(entries, (now + 50_000, key))
+            if index % 2000 == 0:
+                while entries and entries[0][0] <= now:
+                    expires, expired = heapq.heappop(entries)
+                    if latest.get(expired) == expires:
+                        del latest[expired]
 
-    return cost(heap), cost(wheel)
+    return cpu_ns(heap), cpu_ns(wheel)
 
 
-def heavy(keys: int) -> tuple[float, float]:
-    draw = Random(2)
-    some = [int(keys * draw.random() ** 3) for _ in range(MANY)]
+def measure_heavy_hitters(keys: int) -> tuple[float, float]:
+    rng = Random(2)
+    senders = [int(keys * rng.random() ** 3) for _ in range(OPERATIONS)]
 
     def sketch() -> None:
         hitters = HeavyHitters[int](64)
-        for key in some:
-            hitters.add(key)
+        for sender in senders:
+            hitters.add(sender)
 
-    def plain() -> None:
+    def baseline() -> None:
         counter = Counter[int]()
-        for key in some:
-            counter[key] += 1
+        for sender in senders:
+            counter[sender] += 1
 
-    return cost(plain), cost(sketch)
+    return cpu_ns(baseline), cpu_ns(sketch)
 
 
-def quantile(keys: int) -> tuple[float, float]:
-    draw = Random(3)
-    some = [draw.lognormvariate(0, 1) for _ in range(MANY)]
+def measure_quantiles(keys: int) -> tuple[float, float]:
+    rng = Random(3)
+    samples = [rng.lognormvariate(0, 1) for _ in range(OPERATIONS)]
 
     def sketch() -> None:
         quantiles = QuantileSketch()
-        for value in some:
+        for value in samples:
             quantiles.add(value)
 
-    def plain() -> None:  # all values, sorted as they come
-        values = list[float]()
-        for value in some[: MANY // 4]:
+    def baseline() -> None:
+        values = list[float]()  # all values, kept sorted
+        for value in samples[: OPERATIONS // 4]:
             insort(values, value)
 
-    return 4 * cost(plain), cost(sketch)
+    return 4 * cpu_ns(baseline), cpu_ns(sketch)
 
 
-def decoding(keys: int) -> tuple[float, float]:
-    """Whole envelopes, beside looking at the sender's budget first and reading one in ten."""
+def measure_decoding(keys: int) -> tuple[float, float]:
+    """Decoding every envelope against one in ten, as after a check of the sender's budget."""
     data = Envelope(
         server="c17",
         token=b"x" * 8,
@@ -96,33 +99,33 @@
         uptime=12_345,
         report=OrcaLoadReport(cpu_utilization=0.5, application_utilization=0.6, eps=0.1, rps_fractional=33.0),
     ).SerializeToString()
-    word = Envelope()
+    envelope = Envelope()
 
-    def plain() -> None:
-        for _ in range(MANY):
+    def baseline() -> None:
+        for _ in range(OPERATIONS):
             Envelope().ParseFromString(data)
 
     def sampled() -> None:
-        for turn in range(MANY):
-            if turn % 10 == 0:
-                word.ParseFromString(data)
+        for index in range(OPERATIONS):
+            if index % 10 == 0:
+                envelope.ParseFromString(data)
 
-    return cost(plain), cost(sampled)
+    return cpu_ns(baseline), cpu_ns(sampled)
 
 
 def main() -> None:
-    print("| what | plain (ns) | ours (ns) | plain / ours |")
+    print("| operation | baseline (ns) | optimized (ns) | baseline / optimized |")
     print("| --- | --- | --- | --- |")
-    for name, work in (
-        ("expiry moved: heap, wheel", expiry),
-        ("heavy senders: Counter, Space-Saving", heavy),
-        ("quantiles: sorted list, sketch", quantile),
-        ("reports read: all, a tenth", decoding),
+    for name, benchmark in (
+        ("expiry postponed: heap, timing wheel", measure_expiry),
+        ("heavy senders: Counter, Space-Saving", measure_heavy_hitters),
+        ("quantiles: sorted list, sketch", measure_quantiles),
+        ("reports decoded: all, one in ten", measure_decoding),
     ):
-        for keys in (99, 990) if work in (expiry, heavy) else (0,):
-            plain, ours = work(keys)
+        for keys in (99, 990) if benchmark in (measure_expiry, measure_heavy_hitters) else (0,):
+            baseline, optimized = benchmark(keys)
             title = f"{name}, {keys} servers" if keys else name
-            print(f"| {title} | {plain:.0f} | {ours:.0f} | {plain / ours:.2f} |")
+            print(f"| {title} | {baseline:.0f} | {optimized:.0f} | {baseline / optimized:.2f} |")
 
 
 if __name__ == "__main__":
