--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -143,6 +143,7 @@
         list[float](),
         list[int](),
     )
+    # Rate limiting is off: every query is answered.
     front.limits.take = lambda *_: next(iter(front.limits.counts))  # type: ignore[method-assign]
 
     def record_cpu() -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -154,7 +154,7 @@
 
             def start_phase(name: str) -> None:
                 cpu_marks.append((name, time.process_time()))
-                results["held"] = float(len(manager.core.sessions))
+                results["connected"] = float(len(manager.core.sessions))
 
             def change_servers(index: int) -> None:
                 manager.core.apply_times.clear()
@@ -168,9 +168,8 @@
                     apply_histogram.record_value(max(1, elapsed))
                 manager.core.apply_times.clear()
 
-            tick_histogram: Any = HdrHistogram(
-                1, 10_000_000, 3
-            )  # CPU time of one batch of events, microseconds
+            # CPU time of one batch of events, microseconds.
+            tick_histogram: Any = HdrHistogram(1, 10_000_000, 3)
             original_take = manager.core.take
 
             def timed_take(now: int, *events: Any) -> None:
@@ -247,7 +246,7 @@
     columns = [
         f"{measured[name]:.1f}"
         for name in (
-            "held",
+            "connected",
             "quiet",
             "tick",
             "busy",
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -197,9 +197,8 @@
     reactor.callWhenRunning(manager.start)
     reactor.callLater(TICK_INTERVAL, tick, reactor.seconds() + TICK_INTERVAL)
     for k in range(turns):
-        start = SETTLE_TIME + k * (
-            2 * seconds + 1.5
-        )  # the 1.5 s drain the flood's backlog before the next quiet phase
+        # After each flood, 1.5 s are left for its backlog, which must not count in the next quiet phase.
+        start = SETTLE_TIME + k * (2 * seconds + 1.5)
         reactor.callLater(start, enter_phase, "quiet")
         reactor.callLater(start + seconds, enter_phase, "flood")
         reactor.callLater(start + 2 * seconds, finish if k == turns - 1 else lambda: enter_phase("settling"))
--- a/tests/test_ci.py
+++ b/tests/test_ci.py
@@ -37,9 +37,8 @@
         listed = verdict.parse_known_failures(
             f"{TEST} | its own, seed 7 | a real fault | 28\n", verdict.test_exists
         )
-        lines, passes = verdict.evaluate(
-            unittest_output(TEST, TEST), listed, 1
-        )  # twice: two of its subtests failed
+        # The test is named twice: two of its subtests failed.
+        lines, passes = verdict.evaluate(unittest_output(TEST, TEST), listed, 1)
         self.assertTrue(passes)
         self.assertEqual(
             lines,
