--- a/benchmarks/dns.py
+++ b/benchmarks/dns.py
@@ -1,4 +1,4 @@
-"""Load on the DNS front of one manager that also steers 161 gateways: answers per second, latency, CPU time
+"""Load on the DNS server of one manager that also steers 161 gateways: answers per second, latency, CPU time
 per query.
 
 A child process sends queries over loopback from 200 addresses at a fixed rate, every tenth with an EDNS
@@ -28,9 +28,9 @@
 
 from benchmarks.fleet import NullLogger, manager_config
 from rushladder.conf.reader import parse_config
-from rushladder.dnsfront.answers import Asked, Chosen
-from rushladder.dnsfront.front import Front
-from rushladder.dnsfront.ports import Datagrams
+from rushladder.dnsfront.answer_builder import PoolQuery, Selection
+from rushladder.dnsfront.responder import DnsResponder
+from rushladder.dnsfront.transports import DnsDatagramProtocol
 from rushladder.interface import Availability
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
@@ -43,7 +43,7 @@
 ZONE_CONFIG = "dns svc.example\n    bind 127.0.0.1:5399\n    ns ns.svc.example=127.0.0.1\n    usual 200/s\n"
 
 
-def query(index: int) -> bytes:
+def encode_query(index: int) -> bytes:
     name = (b"\x08_balance\x04_tcp", b"\x07balance", b"\x07collect")[index % 3]
     record_type = (33, 1, 1)[index % 3]
     opt = b"\0\0\x29\x04\xd0\0\0\0\0\0\0" if index % 10 == 0 else b""
@@ -66,7 +66,7 @@
         while sent < rate * min(now, seconds):
             k = sent % CLIENTS
             sent_at[k, sent & 0xFFFF] = time.monotonic()
-            sockets[k].send(query(sent))
+            sockets[k].send(encode_query(sent))
             sent, busy = sent + 1, True
         for k, sock in enumerate(sockets):
             try:
@@ -89,15 +89,15 @@
     )
 
 
-def baseline_choice(front: Front) -> Callable[[Asked, bool], Chosen | None]:
+def baseline_choice(responder: DnsResponder) -> Callable[[PoolQuery, bool], Selection | None]:
     """Weighted random choice from one list, the same for all clients."""
     next_random = Random(1).random
 
-    def choose(asked: Asked, weighted: bool) -> Chosen | None:
-        pool = front.pools[asked.product, asked.region]
+    def choose(query: PoolQuery, weighted: bool) -> Selection | None:
+        pool = responder.pools[query.product, query.region]
         sampler = LinearChoice({name: target.weight for name, target in pool.targets.items()})
         names = dict.fromkeys(sampler.draw(next_random()) for _ in range(2))
-        return Chosen([pool.targets[name] for name in names], 2)
+        return Selection([pool.targets[name] for name in names], 2)
 
     return choose
 
@@ -131,11 +131,11 @@
 
 
 def measure(rate: int, seconds: float, baseline: bool, manager: Manager) -> None:
-    front = manager.dns
-    assert front is not None
+    responder = manager.dns
+    assert responder is not None
     if baseline:
-        front._answers._choose = baseline_choice(front)
-    port = reactor.listenUDP(0, Datagrams(front), interface="127.0.0.1")
+        responder._answer_builder._choose = baseline_choice(responder)
+    port = reactor.listenUDP(0, DnsDatagramProtocol(responder), interface="127.0.0.1")
     port.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_000_000)
     cpu_marks, clients, replan_times, connected = (
         list[float](),
@@ -144,7 +144,7 @@
         list[int](),
     )
     # Rate limiting is off: every query is answered.
-    front.limits.take = lambda *_: next(iter(front.limits.counts))  # type: ignore[method-assign]
+    responder.rate_limiter.take = lambda *_: next(iter(responder.rate_limiter.counts))  # type: ignore[method-assign]
 
     def record_cpu() -> None:
         cpu_marks.append(time.process_time())
@@ -162,7 +162,7 @@
             state = Availability.DRAINING if index % 2 == 0 else Availability.READY
             manager.roster.change("c5", clock_tenths(reactor), availability=state)
             started = time.process_time_ns()
-            front.listing()
+            responder.list_changed()
             replan_times.append((time.process_time_ns() - started) / 1e6)
 
     reactor.callWhenRunning(manager.start)
--- a/rushladder/service/api.py
+++ b/rushladder/service/api.py
@@ -1,4 +1,4 @@
-"""The manager's own runtime API: which command does what. See docs/runtime-api.md for the page."""
+"""The commands of a manager's runtime API. They are documented in docs/runtime-api.md."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.defer import TimeoutError as Late
+from twisted.internet.defer import TimeoutError as TimedOut
 
 from rushladder import __version__
 from rushladder.conf.grammar import InvalidValue, duration, inet, name, number
@@ -17,22 +17,23 @@
 from rushladder.guard.history import Version
 from rushladder.guard.table_guard import Denied
 from rushladder.interface import Availability
-from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandRefused, CommandSpec, CommandTable, Level
 from rushladder.runtime.grammar import Command, format_csv
 from rushladder.service.manager import Manager
 from rushladder.store.commands import (
+    DURABLE_TIMEOUT,
     MAX_COMMAND_LENGTH,
     MAX_ID_LENGTH,
-    DURABLE_TIMEOUT,
     Effect,
     is_idempotent,
 )
 from rushladder.store.memory import Kind
 from rushladder.timing import TENTHS_PER_SECOND, clock_tenths
 
-PREPARED_MOST, LINES_MOST = 16, 20_000  # versions begun and not committed; 20 products x 1,000 servers
-SHOWN = 20  # resolvers of a pool that are shown: those who bring most
-FLEET = "fleet"  # the backend that stands for all collectors
+# Uncommitted versions, and lines of each: 20 products x 1,000 servers.
+MAX_PREPARED, MAX_PREPARED_LINES = 16, 20_000
+MAX_RESOLVERS_SHOWN = 20  # of each pool: those with the most traffic
+FLEET = "fleet"  # the name of the backend that holds all collectors
 STATES = {"ready": Availability.READY, "drain": Availability.DRAINING, "maint": Availability.GONE}
 STATUS = {Availability.READY: "UP", Availability.DRAINING: "DRAIN", Availability.GONE: "MAINT"}
 COLUMNS = (
@@ -58,11 +59,11 @@
 
 
 def command_table(manager: Manager) -> CommandTable:
-    """All commands, with who may use them."""
-    api = Api(manager)
-    plain = CommandTable(
+    """All commands of the API, with the level that each needs."""
+    api = RuntimeApi(manager)
+    table = CommandTable(
         [
-            CommandSpec(tuple(words.split()), level, usage, _refusing(run))
+            CommandSpec(tuple(words.split()), level, usage, _with_refusals(run))
             for words, level, usage, run in (
                 ("show info", Level.USER, "show info [json] : facts about this manager", api.info),
                 ("show version", Level.USER, "show version : its version", lambda words: f"{__version__}\n"),
@@ -73,48 +74,58 @@
                     "show servers state [fleet] : the list of collectors",
                     api.servers,
                 ),
-                ("show backend", Level.USER, "show backend : fleet, and the products", api.backend),
+                (
+                    "show backend",
+                    Level.USER,
+                    "show backend : names of the backends: fleet, and the products",
+                    api.backend,
+                ),
                 (
                     "show map",
                     Level.OPERATOR,
-                    "show map [levels|retries] : what is let in, and the retry rule",
+                    "show map [levels|retries] : admission levels, and the retry rules",
                     api.map,
                 ),
                 (
                     "show sess",
                     Level.OPERATOR,
-                    "show sess : gateways, who holds them, what waits in each channel",
+                    "show sess : gateways, their holders, and lines waiting in each channel",
                     api.sess,
                 ),
                 (
                     "show table",
                     Level.OPERATOR,
-                    "show table GATEWAY : what a gateway should hold, and holds",
+                    "show table GATEWAY : lines that a gateway should have, and has",
                     api.table,
                 ),
                 (
                     "show errors",
                     Level.OPERATOR,
-                    "show errors : the last faults, with how often they came",
+                    "show errors : the last errors, with how often each occurred",
                     api.errors,
                 ),
-                ("show dns", Level.USER, "show dns : what became of questions; the pools' split", api.dns),
+                (
+                    "show dns",
+                    Level.USER,
+                    "show dns : outcomes of queries, and the split of each pool",
+                    api.dns,
+                ),
                 (
                     "show dns resolvers",
                     Level.OPERATOR,
-                    "show dns resolvers : who asks, and what each is taken to bring",
+                    "show dns resolvers : resolvers, and the estimated traffic of each",
                     api.resolvers,
                 ),
                 (
                     "show load",
                     Level.USER,
-                    "show load [SERVER] : what servers report of their load, and what it is worth",
+                    "show load [SERVER] : load that servers report, and how far it is trusted",
                     api.load,
                 ),
                 (
                     "show intake",
                     Level.USER,
-                    "show intake : what became of the reports, the spread of loads, heavy senders",
+                    "show intake : outcomes of load reports, their distribution, heavy senders",
                     api.intake,
                 ),
                 (
@@ -129,26 +140,46 @@
                     "show table history : versions of the factors",
                     api.history,
                 ),
-                ("show table diff", Level.OPERATOR, "show table diff A B : factors that differ", api.diff),
+                (
+                    "show table diff",
+                    Level.OPERATOR,
+                    "show table diff A B : factors that differ between two versions",
+                    api.diff,
+                ),
                 (
                     "show table refused",
                     Level.OPERATOR,
-                    "show table refused : changes refused, and why",
+                    "show table refused : refused changes, and why",
                     api.refused,
                 ),
-                ("show wave", Level.OPERATOR, "show wave : the change on its way", api.wave),
+                ("show wave", Level.OPERATOR, "show wave : the change being rolled out", api.wave),
                 (
                     "set weight",
                     Level.ADMIN,
-                    "set weight PRODUCT/SERVER PERCENT% : times the decided",
+                    "set weight PRODUCT/SERVER PERCENT% : multiplies the computed weight",
                     api.weight,
                 ),
-                ("prepare table", Level.ADMIN, "prepare table : a new version to fill", api.prepare),
+                (
+                    "prepare table",
+                    Level.ADMIN,
+                    "prepare table : opens a new version of the factors",
+                    api.prepare,
+                ),
                 ("add table", Level.ADMIN, "add table @V PRODUCT/SERVER PERCENT%", api.add_line),
-                ("commit table", Level.ADMIN, "commit table @V [WHY...] : judged, then in waves", api.commit),
-                ("rollback to", Level.ADMIN, "rollback to N : back to a version", api.rollback),
-                ("enable server", Level.ADMIN, "enable server fleet/NAME : as state ready", api.enable),
-                ("disable server", Level.ADMIN, "disable server fleet/NAME : as state maint", api.disable),
+                (
+                    "commit table",
+                    Level.ADMIN,
+                    "commit table @V [WHY...] : checks a version and rolls it out in waves",
+                    api.commit,
+                ),
+                ("rollback to", Level.ADMIN, "rollback to N : returns to a version", api.rollback),
+                ("enable server", Level.ADMIN, "enable server fleet/NAME : same as state ready", api.enable),
+                (
+                    "disable server",
+                    Level.ADMIN,
+                    "disable server fleet/NAME : same as state maint",
+                    api.disable,
+                ),
                 (
                     "add server",
                     Level.ADMIN,
@@ -158,13 +189,13 @@
                 (
                     "del server",
                     Level.ADMIN,
-                    "del server fleet/NAME : takes one in maintenance off the list",
+                    "del server fleet/NAME : removes a server in maintenance from the list",
                     api.del_server,
                 ),
                 (
                     "show store",
                     Level.USER,
-                    "show store : what is remembered over a restart, and what came back",
+                    "show store : state kept over a restart, and what was restored",
                     api.store,
                 ),
             )
@@ -173,43 +204,45 @@
     once = CommandSpec(
         ("once",),
         Level.OPERATOR,
-        "once ID COMMAND... : carried out once, however often it is sent, over restarts too",
-        Once(manager, plain).run,
+        "once ID COMMAND... : runs a command once, however often it is sent, also over restarts",
+        OnceCommand(manager, table).run,
     )
-    return CommandTable([*plain.all, once])
+    return CommandTable([*table.all, once])
 
 
-Run = Callable[[tuple[str, ...]], str]
+Handler = Callable[[tuple[str, ...]], str]
 
 
-def _field(place: int, key: str, value: str | int) -> dict[str, object]:
-    """One fact in the guide's JSON form of `show info`."""
+def _field(index: int, key: str, value: str | int) -> dict[str, object]:
+    """One field of `show info json`, as HAProxy formats it."""
     kind = "str" if isinstance(value, str) else "u64"
     return {
-        "field": {"pos": place, "name": key},
+        "field": {"pos": index, "name": key},
         "processNum": 1,
         "tags": {"origin": "Product", "nature": "Output", "scope": "Process"},
         "value": {"type": kind, "value": value},
     }
 
 
-def _refusing(run: Run) -> Callable[[Command, Level], str]:
+def _with_refusals(run: Handler) -> Callable[[Command, Level], str]:
+    """Turns errors of a handler about its arguments into refusals."""
+
     def call(command: Command, level: Level) -> str:
         try:
             return run(command.words)
-        except (RosterError, InvalidValue) as trouble:
-            raise CommandRefused(f"{trouble}") from None
+        except (RosterError, InvalidValue) as error:
+            raise CommandRefused(f"{error}") from None
         except IndexError:
             raise CommandRefused("An argument is missing, see 'help'.") from None
 
     return call
 
 
-class Once:
-    """Carries out commands that bear an id; what to do with a repeat is decided in `store.commands`."""
+class OnceCommand:
+    """Runs commands that carry an id at most once. `store.commands` decides how a repeated one is handled."""
 
-    def __init__(self, manager: Manager, verbs: CommandTable) -> None:
-        self._manager, self._verbs, self._journal = manager, verbs, manager.journal
+    def __init__(self, manager: Manager, commands: CommandTable) -> None:
+        self._manager, self._commands, self._journal = manager, commands, manager.journal
 
     async def run(self, command: Command, level: Level) -> str:
         words = command.words
@@ -218,68 +251,70 @@
                 f"once ID COMMAND...; an ID has 1 to {MAX_ID_LENGTH} letters, digits, and . : - _"
             )
         name, inner = words[1], Command(words[2:], command.payload)
-        verb = self._verbs.find(inner.words)
+        spec = self._commands.find(inner.words)
         text = " ".join(inner.words)
-        if verb is None or len(text) > MAX_COMMAND_LENGTH:
+        if spec is None or len(text) > MAX_COMMAND_LENGTH:
             raise CommandRefused(f"Unknown command, or over {MAX_COMMAND_LENGTH} characters; see 'help'.")
-        if verb.level > level:
+        if spec.level > level:
             return "Permission denied\n"
         memory = self._manager.memory
         now = memory.now() if memory is not None else 0
-        effect = self._journal.begin(name, text, is_idempotent(verb.words), now)
+        effect = self._journal.begin(name, text, is_idempotent(spec.words), now)
         if effect is Effect.ANSWER:
             return self._journal[name].answer
         if effect is not Effect.RUN:
             raise CommandRefused(f"Not carried out: {effect.value}.")
         if memory is not None:
             try:
-                await self._sure(name)
-            except Late:
+                await self._make_durable(name)
+            except TimedOut:
                 self._journal.cancel(name)
                 memory.writer.put(Kind.COMMAND, name, None)
                 raise CommandRefused(
-                    "Not carried out: it could not be noted, the disk fails or is slow."
+                    "Not carried out: it could not be recorded, the disk fails or is slow."
                 ) from None
         try:
-            answer = verb.run(inner, level)
+            answer = spec.run(inner, level)
             answer = answer if isinstance(answer, str) else await answer
         except CommandRefused as refused:
             answer = f"{refused}\n"
         self._journal.record_answer(name, answer)
         if memory is not None:
-            self._manager.remember_changes()
+            self._manager.store_changes()
             try:
-                await self._sure(name)
-            except Late:
+                await self._make_durable(name)
+            except TimedOut:
                 raise CommandRefused(
-                    f"Carried out, but not noted, as the disk fails or is slow: {answer}"
+                    f"Carried out, but not recorded, as the disk fails or is slow: {answer}"
                 ) from None
         return answer
 
-    async def _sure(self, name: str) -> None:
+    async def _make_durable(self, name: str) -> None:
         memory = self._manager.memory
         assert memory is not None
-        memory.noted(name)
+        memory.record_command(name)
         clock: Any = self._manager.clock
-        await memory.sure().addTimeout(DURABLE_TIMEOUT, clock)
+        await memory.flush().addTimeout(DURABLE_TIMEOUT, clock)
+
 
+class RuntimeApi:
+    """The handlers of the commands. Each takes the words of its command and returns the answer."""
 
-class Api:
     def __init__(self, manager: Manager) -> None:
         self._manager, self._core, self._roster = manager, manager.core, manager.roster
-        self._version, self._prepared = 0, dict[int, list[tuple[tuple[str, str], float]]]()
+        self._prepared_version, self._prepared = 0, dict[int, list[tuple[tuple[str, str], float]]]()
 
     def info(self, words: tuple[str, ...]) -> str:
-        manager, up = self._manager, self._manager.clock.seconds() - self._manager.started
+        manager, uptime = self._manager, self._manager.clock.seconds() - self._manager.started
         owed, sent = self._core.line_counts()
         unanswered = sum(driver.unanswered_commands() for driver in manager.drivers)
         facts: dict[str, str | int] = {
             "Name": "rushladder",
             "Version": __version__,
-            "Node": manager.plan.identity.name,
-            "Region": manager.plan.identity.region,
-            "Uptime_sec": int(up),
-            "Beats": manager.beats,
+            "Node": manager.config.identity.name,
+            "Region": manager.config.identity.region,
+            "Uptime_sec": int(uptime),
+            "Beats": manager.periods,
             "Events": manager.events,
             "Gateways": len(manager.drivers),
             "GatewaysHeld": sum(driver.session is not None for driver in manager.drivers),
@@ -289,11 +324,11 @@
             "LinesOwed": owed,
             "LinesSent": sent,
             "CommandsUnanswered": unanswered,
-            "Errors": sum(fault.many for fault in manager.errors),
+            "Errors": sum(error.count for error in manager.errors),
         }
         if words[2:3] == ("json",):
             return (
-                json.dumps([_field(place, key, value) for place, (key, value) in enumerate(facts.items())])
+                json.dumps([_field(index, key, value) for index, (key, value) in enumerate(facts.items())])
                 + "\n"
             )
         return "".join(f"{key}: {value}\n" for key, value in facts.items())
@@ -310,9 +345,9 @@
                 )
             ]
             levels = [
-                int(float(self._core.format_level(tbl.gates[product][0])))
-                for port in self._core.sessions.values()
-                if (tbl := port.tables.get(product)) is not None and product in tbl.gates
+                int(float(self._core.format_level(table.gates[product][0])))
+                for session in self._core.sessions.values()
+                if (table := session.tables.get(product)) is not None and product in table.gates
             ]
             rows.append(
                 {
@@ -327,32 +362,32 @@
                     "gateways": len(self._core.sessions),
                 }
             )
-        used = dict[str, int]()
-        for port in self._core.sessions.values():
-            carries = {
+        gateway_counts = dict[str, int]()
+        for session in self._core.sessions.values():
+            servers = {
                 key[1]
-                for key, line in port.held.lines.items()
+                for key, line in session.held.lines.items()
                 if line.weight and line.admin is AdminState.READY
             }
-            for server in carries:
-                used[server] = used.get(server, 0) + 1
-        for one in self._roster.listed.values():
-            many, voided, _, _, rate = one.server.recent_totals(now, 5)
+            for server in servers:
+                gateway_counts[server] = gateway_counts.get(server, 0) + 1
+        for listed in self._roster.listed.values():
+            count, voided, _, _, rate = listed.server.recent_totals(now, 5)
             rows.append(
                 {
                     "pxname": FLEET,
-                    "svname": one.server.name,
-                    "stot": int(many),
+                    "svname": listed.server.name,
+                    "stot": int(count),
                     "eresp": int(voided),
-                    "status": STATUS[one.availability],
-                    "weight": one.size,
+                    "status": STATUS[listed.availability],
+                    "weight": listed.size,
                     "rate": round(rate, 1),
-                    "region": one.server.zone,
-                    "model": one.server.model,
-                    "listed": one.availability.name.lower(),
-                    "cold_permille": round(1000 * min(1.0, self._core.ramp(one.server))),
-                    "withdrawn": int(one.server in self._core.withdrawn),
-                    "gateways": used.get(one.server.name, 0),
+                    "region": listed.server.zone,
+                    "model": listed.server.model,
+                    "listed": listed.availability.name.lower(),
+                    "cold_permille": round(1000 * min(1.0, self._core.ramp(listed.server))),
+                    "withdrawn": int(listed.server in self._core.withdrawn),
+                    "gateways": gateway_counts.get(listed.server.name, 0),
                 }
             )
         return format_csv(COLUMNS, ([row.get(column, "") for column in COLUMNS] for row in rows))
@@ -366,12 +401,13 @@
             "srv_time_since_last_change srv_port region model\n"
         )
         bits = {Availability.READY: 0, Availability.DRAINING: 8, Availability.GONE: 1}
-        for place, one in enumerate(self._roster.listed.values(), 1):
-            host, port = one.address.rsplit(":", 1)
-            age = (now - one.started_at) // TENTHS_PER_SECOND if one.started_at else -1
+        for index, listed in enumerate(self._roster.listed.values(), 1):
+            host, port = listed.address.rsplit(":", 1)
+            age = (now - listed.started_at) // TENTHS_PER_SECOND if listed.started_at else -1
             text += (
-                f"1 {FLEET} {place} {one.server.name} {host} {0 if bits[one.availability] & 1 else 2} "
-                f"{bits[one.availability]} {one.size:g} {age} {port} {one.server.zone} {one.server.model}\n"
+                f"1 {FLEET} {index} {listed.server.name} {host} {0 if bits[listed.availability] & 1 else 2} "
+                f"{bits[listed.availability]} {listed.size:g} {age} {port} "
+                f"{listed.server.zone} {listed.server.model}\n"
             )
         return text
 
@@ -383,38 +419,40 @@
             return f"# id (file) description\n0 ({LEVELS_MAP}) let in\n1 ({RETRIES_MAP}) retry rule\n"
         if words[2] not in (LEVELS_MAP, RETRIES_MAP):
             raise CommandRefused("Unknown map identifier. Please use levels or retries.")
-        text, place = "", 0
-        for port in self._core.sessions.values():
-            for key, value in self._core.maps(port)[words[2]].items():
-                place += 1
-                text += f"0x{place:x} {port.gateway.name}/{key} {value}\n"
+        text, index = "", 0
+        for session in self._core.sessions.values():
+            for key, value in self._core.maps(session)[words[2]].items():
+                index += 1
+                text += f"0x{index:x} {session.gateway.name}/{key} {value}\n"
         return text
 
     def sess(self, words: tuple[str, ...]) -> str:
         now, text = clock_tenths(self._manager.clock), ""
         for driver in self._manager.drivers:
-            port, hold = driver.session, driver.election
+            session, election = driver.session, driver.election
             text += (
-                f"{driver.gateway.name}: region={driver.gateway.zone} stand={hold.state.name.lower()} "
-                f"epoch={hold.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
+                f"{driver.gateway.name}: region={driver.gateway.zone} stand={election.state.name.lower()} "
+                f"epoch={election.epoch} up={int(driver.connected)} unanswered={driver.unanswered_commands()}"
             )
-            if port is not None:
-                age = (now - port.sent_at) // 10 if port.sent_at else 0
+            if session is not None:
+                age = (now - session.sent_at) // 10 if session.sent_at else 0
                 text += (
-                    f" owed={port.pending_lines} sent={port.sent_lines} age={age}ms messages={port.messages} "
-                    f"lines={len(port.held.lines)}"
+                    f" owed={session.pending_lines} sent={session.sent_lines} age={age}ms "
+                    f"messages={session.messages} lines={len(session.held.lines)}"
                 )
             text += "\n"
         return text
 
     def table(self, words: tuple[str, ...]) -> str:
-        port = next((port for port in self._core.sessions.values() if port.gateway.name == words[2]), None)
-        if port is None:
+        session = next(
+            (session for session in self._core.sessions.values() if session.gateway.name == words[2]), None
+        )
+        if session is None:
             raise CommandRefused("No such gateway held here.")
         rows = list[list[object]]()
-        for product in port.tables:
-            for key, line in self._core.desired_lines(port, product).items():
-                held = port.held.lines.get(key)
+        for product in session.tables:
+            for key, line in self._core.desired_lines(session, product).items():
+                held = session.held.lines.get(key)
                 rows.append(
                     [
                         *key,
@@ -428,14 +466,14 @@
 
     def errors(self, words: tuple[str, ...]) -> str:
         now = self._manager.clock.seconds()
-        total = sum(fault.many for fault in self._manager.errors)
+        total = sum(error.count for error in self._manager.errors)
         return f"Total events captured : {total}\n" + "".join(
-            f"[{now - fault.at:.1f}s ago] {fault.many} x {fault.what}\n" for fault in self._manager.errors
+            f"[{now - error.at:.1f}s ago] {error.count} x {error.message}\n" for error in self._manager.errors
         )
 
-    # Factors on the decided weights, through the guard.
+    # Factors that multiply the computed weights. Changes go through the guard.
 
-    def _factor(self, word: str, percent: str) -> tuple[tuple[str, str], float]:
+    def _parse_factor(self, word: str, percent: str) -> tuple[tuple[str, str], float]:
         product, _, server = word.partition("/")
         if not server:
             raise CommandRefused("Require 'product/server'.")
@@ -443,9 +481,9 @@
 
     def _propose(self, why: str, changes: list[tuple[tuple[str, str], float]]) -> str:
         gateways, table_guard = self._core.gateways_using({key for key, _ in changes}), self._core.table_guard
-        return self._stands(lambda now: table_guard.propose("operator", why, changes, gateways, now))
+        return self._apply(lambda now: table_guard.propose("operator", why, changes, gateways, now))
 
-    def _stands(self, change: Callable[[int], Version]) -> str:
+    def _apply(self, change: Callable[[int], Version]) -> str:
         table_guard = self._core.table_guard
         try:
             version = change(clock_tenths(self._manager.clock))
@@ -454,35 +492,35 @@
         self._core.mark_all_pending()
         self._manager.handle_events()
         wave = table_guard.wave
-        out = wave is not None and not wave.finished and wave.number == version.number
-        self._manager.told("table.accepted", version=version.number, why=version.why, wave=out)
-        return f"Version {version.number} {'goes out in waves' if out else 'stands'}.\n"
+        in_wave = wave is not None and not wave.finished and wave.number == version.number
+        self._manager.log_event("table.accepted", version=version.number, why=version.why, wave=in_wave)
+        return f"Version {version.number} {'goes out in waves' if in_wave else 'stands'}.\n"
 
     def weight(self, words: tuple[str, ...]) -> str:
-        return self._propose(" ".join(words), [self._factor(words[2], words[3])])
+        return self._propose(" ".join(words), [self._parse_factor(words[2], words[3])])
 
     def prepare(self, words: tuple[str, ...]) -> str:
-        self._version += 1
-        self._prepared[self._version] = []
-        while len(self._prepared) > PREPARED_MOST:
+        self._prepared_version += 1
+        self._prepared[self._prepared_version] = []
+        while len(self._prepared) > MAX_PREPARED:
             del self._prepared[next(iter(self._prepared))]
-        return f"New version created: {self._version}\n"
+        return f"New version created: {self._prepared_version}\n"
 
-    def _lines_of(self, word: str) -> list[tuple[tuple[str, str], float]]:
+    def _prepared_lines(self, word: str) -> list[tuple[tuple[str, str], float]]:
         version = word.removeprefix("@")
         if not version.isdigit() or int(version) not in self._prepared:
             raise CommandRefused("Unknown version of the table.")
         return self._prepared[int(version)]
 
     def add_line(self, words: tuple[str, ...]) -> str:
-        lines = self._lines_of(words[2])
-        if len(lines) >= LINES_MOST:
-            raise CommandRefused(f"The version is full; {LINES_MOST} lines are allowed.")
-        lines.append(self._factor(words[3], words[4]))
+        lines = self._prepared_lines(words[2])
+        if len(lines) >= MAX_PREPARED_LINES:
+            raise CommandRefused(f"The version is full; {MAX_PREPARED_LINES} lines are allowed.")
+        lines.append(self._parse_factor(words[3], words[4]))
         return ""
 
     def commit(self, words: tuple[str, ...]) -> str:
-        lines = self._lines_of(words[2])
+        lines = self._prepared_lines(words[2])
         del self._prepared[int(words[2].removeprefix("@"))]
         return self._propose(" ".join(words[3:]) or "commit table", lines)
 
@@ -490,9 +528,9 @@
         if not words[2].isdigit():
             raise CommandRefused("Require a version's number.")
         table_guard = self._core.table_guard
-        keys = {key for one in table_guard.history.all() for key in one.factors}
+        keys = {key for version in table_guard.history.all() for key in version.factors}
         gateways = self._core.gateways_using(keys)
-        return self._stands(lambda now: table_guard.rollback("operator", int(words[2]), gateways, now))
+        return self._apply(lambda now: table_guard.rollback("operator", int(words[2]), gateways, now))
 
     @staticmethod
     def _age(at: int, now: int) -> int:
@@ -501,9 +539,11 @@
     def history(self, words: tuple[str, ...]) -> str:
         now, history = clock_tenths(self._manager.clock), self._core.table_guard.history
         return "# version parent age_s who lines state why\n" + "".join(
-            f"{one.number} {one.parent} {self._age(one.at, now)} {one.who} {len(one.factors)} "
-            f"{'current' if one.number == history.current else one.state.replace(' ', '_')} {one.why}\n"
-            for one in history.all()
+            f"{version.number} {version.parent} {self._age(version.at, now)} {version.who} "
+            f"{len(version.factors)} "
+            f"{'current' if version.number == history.current else version.state.replace(' ', '_')} "
+            f"{version.why}\n"
+            for version in history.all()
         )
 
     def diff(self, words: tuple[str, ...]) -> str:
@@ -518,8 +558,8 @@
     def refused(self, words: tuple[str, ...]) -> str:
         now = clock_tenths(self._manager.clock)
         return "".join(
-            f"[{(now - one.at) // TENTHS_PER_SECOND}s ago] {one.who}: {one.what}\n"
-            for one in self._core.table_guard.history.refused
+            f"[{(now - change.at) // TENTHS_PER_SECOND}s ago] {change.who}: {change.what}\n"
+            for change in self._core.table_guard.history.refused
         )
 
     def wave(self, words: tuple[str, ...]) -> str:
@@ -540,28 +580,31 @@
         rows = [
             [
                 name,
-                f"{one.reading.value():.3f}",
-                f"{(now - one.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
-                f"{one.reading.freshness(now):.2f}",
+                f"{sender.reading.value():.3f}",
+                f"{(now - sender.reading.last_heard) / TENTHS_PER_SECOND:.1f}",
+                f"{sender.reading.freshness(now):.2f}",
                 f"{desk.hints.worth(name):.2f}",
                 f"{desk.current_hints.get(name, 1.0):.3f}",
-                one.reading.boot,
-                one.reading.newest,
-                one.agent.why if one.agent else "",
+                sender.reading.boot,
+                sender.reading.newest,
+                sender.agent.why if sender.agent else "",
             ]
-            for name, one in desk.senders.items()
-            if one.reading.boot >= 0 and words[2:3] in ((), (name,))
+            for name, sender in desk.senders.items()
+            if sender.reading.boot >= 0 and words[2:3] in ((), (name,))
         ]
         return format_csv(("svname", "load", "age_s", "say", "worth", "hint", "boot", "number", "why"), rows)
 
     def intake(self, words: tuple[str, ...]) -> str:
         desk, now = self._manager.desk, clock_tenths(self._manager.clock)
         loads, ages = desk.distributions(now)
-        text = "".join(f"{fate.name}: {many}\n" for fate, many in desk.counts.items())
-        text += "".join(f"Lane: {lane.pid} started {lane.starts}\n" for lane in self._manager.lanes)
-        for what, sketch in (("load", loads), ("age_s", ages)):
+        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in desk.counts.items())
+        text += "".join(
+            f"Lane: {receiver.pid} started {receiver.starts}\n" for receiver in self._manager.lanes
+        )
+        for quantity, sketch in (("load", loads), ("age_s", ages)):
             text += "".join(
-                f"{what}_p{round(100 * part)}: {sketch.quantile(part):.3f}\n" for part in (0.5, 0.9, 0.99)
+                f"{quantity}_p{round(100 * fraction)}: {sketch.quantile(fraction):.3f}\n"
+                for fraction in (0.5, 0.9, 0.99)
             )
         return text + "".join(
             f"heavy: {sender} {count} dropped, over by {over} at most\n"
@@ -592,7 +635,10 @@
             "Commands_unknown": memory.journal.unknown_outcomes,
         }
         text = "".join(f"{key}: {value}\n" for key, value in facts.items())
-        text += "".join(f"server memories, {sign.value}: {many}\n" for sign, many in memory.signs.items())
+        text += "".join(
+            f"server memories, {validity.value}: {count}\n"
+            for validity, count in memory.record_counts.items()
+        )
         return text + "".join(f"set aside: {damage}\n" for damage in opened.damage)
 
     # The DNS front.
@@ -601,11 +647,11 @@
         front = self._manager.dns
         if front is None:
             raise CommandRefused("No zone is configured.")
-        text = "".join(f"{fate.name}: {many}\n" for fate, many in front.counts.items())
-        text += f"ttl: {front.lifetimes.usual}\nbuckets: {len(front.limits)}\n"
+        text = "".join(f"{outcome.name}: {count}\n" for outcome, count in front.counts.items())
+        text += f"ttl: {front.ttl_policy.normal}\nbuckets: {len(front.rate_limiter)}\n"
         rows = list[list[object]]()
         for (product, region), pool in front.pools.items():
-            for server, share in pool.split.shares.items():
+            for server, share in pool.selector.shares.items():
                 rows.append(
                     [
                         product,
@@ -613,8 +659,8 @@
                         server,
                         f"{share.weight:g}",
                         int(share.cold),
-                        f"{pool.split.allowance(server):.2f}",
-                        f"{pool.split.standing.get(server, 0.0):.2f}",
+                        f"{pool.selector.allowance(server):.2f}",
+                        f"{pool.selector.cached_load.get(server, 0.0):.2f}",
                     ]
                 )
         return text + format_csv(
@@ -629,24 +675,26 @@
             [
                 product,
                 region,
-                asker.source,
-                asker.asked,
-                f"{pool.askers.volume(asker):.2f}",
-                f"{TENTHS_PER_SECOND / asker.wait if asker.wait else 0:.2f}",
-                int(asker.known()),
-                f"{(now - asker.last) / TENTHS_PER_SECOND:.1f}",
-                " ".join(asker.servers),
+                resolver.source,
+                resolver.queries,
+                f"{pool.resolvers.estimated_load(resolver):.2f}",
+                f"{TENTHS_PER_SECOND / resolver.mean_wait if resolver.mean_wait else 0:.2f}",
+                int(resolver.identified()),
+                f"{(now - resolver.last_query) / TENTHS_PER_SECOND:.1f}",
+                " ".join(resolver.servers),
             ]
             for (product, region), pool in front.pools.items()
-            for asker in sorted(pool.askers.all(), key=lambda one: -pool.askers.volume(one))[:SHOWN]
+            for resolver in sorted(
+                pool.resolvers.all(), key=lambda resolver: -pool.resolvers.estimated_load(resolver)
+            )[:MAX_RESOLVERS_SHOWN]
         ]
         return format_csv(
             ("pxname", "region", "resolver", "asked", "txns_s", "by_waits", "known", "age_s", "servers"), rows
         )
 
-    # Changes of the list.
+    # Changes to the list.
 
-    def _name(self, word: str) -> str:
+    def _server_name(self, word: str) -> str:
         backend, _, server = word.partition("/")
         if not server:
             raise CommandRefused("Require 'backend/server'.")
@@ -655,7 +703,7 @@
         return name(server)
 
     def set_server(self, words: tuple[str, ...]) -> str:
-        server, now = self._name(words[2]), clock_tenths(self._manager.clock)
+        server, now = self._server_name(words[2]), clock_tenths(self._manager.clock)
         if words[3] == "state":
             if words[4] not in STATES:
                 raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
@@ -678,7 +726,7 @@
         return self.set_server(("set", "server", words[2], "state", "maint"))
 
     def add_server(self, words: tuple[str, ...]) -> str:
-        server, address = self._name(words[2]), str(inet(words[3]))
+        server, address = self._server_name(words[2]), str(inet(words[3]))
         options = dict(zip(words[4::2], words[5::2], strict=False))
         if (
             len(words) % 2
@@ -689,8 +737,8 @@
                 "usage: add server fleet/NAME ADDRESS:PORT region REGION [model MODEL] [weight SIZE] "
                 "[started TIME]"
             )
-        if options["region"] not in self._manager.plan.regions:
-            raise CommandRefused(f"No such region. {', '.join(self._manager.plan.regions)} are allowed.")
+        if options["region"] not in self._manager.config.regions:
+            raise CommandRefused(f"No such region. {', '.join(self._manager.config.regions)} are allowed.")
         age = options.get("started")
         now = clock_tenths(self._manager.clock)
         known = self._roster.version
@@ -708,5 +756,5 @@
         return "New server registered.\n"
 
     def del_server(self, words: tuple[str, ...]) -> str:
-        self._manager.apply_list_change(self._roster.remove(self._name(words[2])))
+        self._manager.apply_list_change(self._roster.remove(self._server_name(words[2])))
         return "Server deleted.\n"
