--- a/benchmarks/fuzz_dns.py
+++ b/benchmarks/fuzz_dns.py
@@ -47,7 +47,7 @@
     for tcp in (False, True):
         answer = responder.answer(data, "192.0.2.1", tcp)
         if answer and (len(answer) > MAX_UDP_SIZE or not answer[2] & 0x80 or answer[:2] != data[:2]):
-            raise AssertionError(f"invalid answer {answer!r} to {data!r}")
+            raise AssertionError(f"{data!r}: invalid answer {answer!r}")
     try:
         codec.parse_query(data)
     except codec.MalformedMessage as error:
