--- a/rushladder/guard/admission.py
+++ b/rushladder/guard/admission.py
@@ -201,7 +201,7 @@
             if key in seen and not isinstance(change, Gate):
                 return change, (
                     Reason.DUPLICATE,
-                    f"{key[1]} is given twice for {key[0] or 'the list'}",
+                    f"{key[1]} stands twice for {key[0] or 'the list'}",
                     "one entry",
                 )
             seen.add(key)
@@ -241,8 +241,8 @@
             if stale and server.limit:
                 return group[0], (
                     Reason.CANT_JUDGE,
-                    "no demand was reported for 10 s",
-                    "the same change after the next report",
+                    "no demand was heard for 10 s",
+                    "the same again after a report",
                 )
             if trusted and self._is_relief(now):
                 continue
@@ -286,11 +286,11 @@
             change.weight if isinstance(change, Line) else change.level if isinstance(change, Gate) else 0.0
         )
         if math.isnan(value):
-            return Reason.NOT_A_NUMBER, "the value is not a number", "a number from 0"
+            return Reason.NOT_A_NUMBER, "the figure is no number", "a number from 0"
         if value < 0:
-            return Reason.NEGATIVE, f"the value is {value:g}", "0 or more"
+            return Reason.NEGATIVE, f"the figure is {value:g}", "0 or more"
         if value > MAX_VALUE:
-            return Reason.HUGE, f"the value is {value:g}", f"at most {MAX_VALUE:g}"
+            return Reason.HUGE, f"the figure is {value:g}", f"at most {MAX_VALUE:g}"
         return None
 
     def _check_open(self, change: Change) -> Problem:
@@ -324,7 +324,7 @@
             return None
         return (
             Reason.EMPTY_POOL,
-            f"{pool.name} would have no usable server ({usable_count} before)",
+            f"{pool.name} would have nobody to pick ({usable_count} before)",
             "leaving one that is ready and warm",
         )
 
--- a/rushladder/guard/table_guard.py
+++ b/rushladder/guard/table_guard.py
@@ -120,7 +120,7 @@
         for product, name in self._version(None).factors:
             server = self.projection.servers.get(name)
             if server is not None and server.limit and server.load > server.limit:
-                figures = f"{server.load:.1f} txns a second now, over its {server.limit:.1f}"
+                figures = f"{server.load:.1f} txns a second by now, over its {server.limit:.1f}"
                 return f"{name} is sent {figures} ({product})"
         return ""
 
@@ -143,7 +143,7 @@
         verdict = self.admission.judge([tuple(changes)], now, trusted=True)
         if verdict.refused:
             self.order_errors.append(
-                f"own order for table {table} refused, the last accepted one stays: {verdict.refused[0]}"
+                f"own order for table {table} refused, the last good one stays: {verdict.refused[0]}"
             )
             del self.order_errors[:-20]
             return verdict.refused[0]
@@ -196,7 +196,7 @@
         for key, factor in changes:
             if key in seen:
                 raise self._deny(
-                    who, f"duplicate: {'/'.join(key)} is given twice; one entry would be accepted", now
+                    who, f"duplicate: {'/'.join(key)} stands twice; one entry would be accepted", now
                 )
             if key[0] not in products or key[1] not in self.projection.servers:
                 raise self._deny(
@@ -229,7 +229,7 @@
                 raise self._deny(
                     who, f"version {self.wave.number} is still on its way; roll back to its parent first", now
                 )
-            self._revert("rolled back by an operator", now)
+            self._revert("rolled back by hand", now)
             return self._version(None)
         try:
             factors = self.history[number].factors
@@ -305,9 +305,9 @@
             return Effect.UNDO
         if effect is Effect.UNDO:
             self._revert(
-                f"taken back: {wave.test.probability_worse():.1%} probability that it is worse"
+                f"taken back: {wave.test.probability_worse():.1%} sure that it is worse"
                 if wave.test.ratio > 0
-                else "taken back: undecided for too long",
+                else "taken back: not sure for too long",
                 now,
             )
         return effect
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -32,7 +32,7 @@
     FIRST = "first wave"
     MORE = "second wave"
     ALL = "all gateways"
-    HELD = "held: undecided"
+    HELD = "held: not sure"
     DONE = "done"
     UNDONE = "taken back"
 
