--- a/rushladder/benchlink/hosting.py
+++ b/rushladder/benchlink/hosting.py
@@ -194,14 +194,16 @@
     def now(self) -> int:
         return self._now
 
-    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
-        self._order("Weigh", map_id=tbl, size=weight, worker=worker.name)
+    def set_weight(self, table_number: int, worker: Worker, weight: float) -> None:
+        self._order("Weigh", map_id=table_number, size=weight, worker=worker.name)
 
-    def clear_table(self, tbl: int) -> None:
-        self._order("Empty", map_id=tbl)
+    def clear_table(self, table_number: int) -> None:
+        self._order("Empty", map_id=table_number)
 
-    def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
-        self._order("AttachTable", proxy=self._proxy_ids[proxy], map_id=tbl, class_bits=self._bits(products))
+    def bind(self, proxy: Proxy, table_number: int, products: Sequence[Product]) -> None:
+        self._order(
+            "AttachTable", proxy=self._proxy_ids[proxy], map_id=table_number, class_bits=self._bits(products)
+        )
 
     def set_withdrawn(self, worker: Worker, withdrawn: bool) -> None:
         self._order("HoldBack", yes=withdrawn, worker=worker.name)
@@ -209,10 +211,12 @@
     def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """Nothing to undo: here a bound proxy applies only this instance's withdrawals."""
 
-    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(
+        self, table_number: int | None, products: Sequence[Product], level: float, retry: Retry
+    ) -> None:
         self._order(
             "GateClass",
-            map_id=ALL_TABLES if tbl is None else tbl,
+            map_id=ALL_TABLES if table_number is None else table_number,
             class_bits=self._bits(products),
             let_in=level,
             again=int(retry),
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -467,24 +467,24 @@
     def now(self) -> int:
         return self._now
 
-    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, table_number: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
-        table = self._table(tbl)
+        table = self._table(table_number)
         table.set_weight(worker, weight)
         self._changed_tables[table] = None
         self._mark_table_pending(table)
 
-    def clear_table(self, tbl: int) -> None:
-        table = self._table(tbl)
+    def clear_table(self, table_number: int) -> None:
+        table = self._table(table_number)
         for server in list(table.lines):
             table.set_weight(server, 0.0)
         table.gates.clear()
         self._changed_tables[table] = None
         self._mark_table_pending(table)
 
-    def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
+    def bind(self, proxy: Proxy, table_number: int, products: Sequence[Product]) -> None:
         assert isinstance(proxy, Gateway)
-        session, table = self.sessions.get(proxy), self._table(tbl)
+        session, table = self.sessions.get(proxy), self._table(table_number)
         if session is None:
             return
         self._touched_sessions[session] = None
@@ -498,17 +498,17 @@
         self._changed_tables[table] = None
         session.gates_pending = True
 
-    def set_withdrawn(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, withdrawn: bool) -> None:
         assert isinstance(worker, Server)
-        if out:
+        if withdrawn:
             self.withdrawn[worker] = None
         else:
             self.withdrawn.pop(worker, None)
         self._update_guard_server(worker)
         for table in self._tables.values():
             if worker in table.lines:
-                self._mark_table_pending(table, urgent=out)
-        for session in self.sessions.values() if out else ():
+                self._mark_table_pending(table, urgent=withdrawn)
+        for session in self.sessions.values() if withdrawn else ():
             for product in session.tables:  # lines left by an earlier holder that are no longer in its table
                 if (product.name, worker.name) in session.held.lines:
                     self._touched_sessions[session] = None
@@ -517,8 +517,10 @@
     def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """Does nothing: withdrawals left at a gateway are found when its content is read back."""
 
-    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
-        for table in self._tables.values() if tbl is None else (self._table(tbl),):
+    def set_level(
+        self, table_number: int | None, products: Sequence[Product], level: float, retry: Retry
+    ) -> None:
+        for table in self._tables.values() if table_number is None else (self._table(table_number),):
             for product in products or self.products:
                 zone = next(iter(table.sessions)).gateway.zone if table.sessions else ""
                 if (
@@ -533,9 +535,9 @@
                 session.gates_pending = True
                 session.pending_lines += 1
 
-    def checkpoint(self, number: int, everyone: bool) -> None:
-        for session in self.sessions.values() if everyone else self._touched_sessions:
-            session.checkpoints.append(number)
+    def checkpoint(self, mark: int, all_proxies: bool) -> None:
+        for session in self.sessions.values() if all_proxies else self._touched_sessions:
+            session.checkpoints.append(mark)
 
     def probe(self, worker: Worker) -> None:
         assert isinstance(worker, Server)
@@ -544,7 +546,7 @@
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self.peer_messages.append(data)
 
-    def watch_list(self, on: bool) -> None:
+    def watch_list(self, enabled: bool) -> None:
         """Does nothing: changes of the list are always reported at once."""
 
     def request_list(self) -> None:
@@ -553,6 +555,6 @@
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
 
-    def log(self, words: str) -> None:
-        self.log_lines.append(words)
+    def log(self, text: str) -> None:
+        self.log_lines.append(text)
         del self.log_lines[:-100]
--- a/rushladder/interface.py
+++ b/rushladder/interface.py
@@ -314,13 +314,13 @@
 
     def now(self) -> int: ...
 
-    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, table_number: int, worker: Worker, weight: float) -> None:
         """Sets a line of a shared table; a weight of 0 removes it."""
         ...
 
-    def clear_table(self, tbl: int) -> None: ...
+    def clear_table(self, table_number: int) -> None: ...
 
-    def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
+    def bind(self, proxy: Proxy, table_number: int, products: Sequence[Product]) -> None:
         """Makes the proxy use the table for these products."""
         ...
 
@@ -331,7 +331,9 @@
     def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """Undoes what a former manager withdrew at this proxy."""
 
-    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(
+        self, table_number: int | None, products: Sequence[Product], level: float, retry: Retry
+    ) -> None:
         """Sets the admission level and the retries of products, in one table or (None) in all."""
         ...
 
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -304,9 +304,9 @@
     def _table(self, number: int) -> SharedTable:
         return self._tables.setdefault(number, SharedTable())
 
-    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, table_number: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
-        table = self._table(tbl)
+        table = self._table(table_number)
         new = worker not in table.lines
         if weight > 0:
             table.lines[worker] = weight
@@ -321,16 +321,16 @@
             if new and weight > 0 and (worker in self._withdrawn or worker in self._released):
                 joined.pending_withdrawals[worker] = None
 
-    def clear_table(self, tbl: int) -> None:
-        table = self._table(tbl)
+    def clear_table(self, table_number: int) -> None:
+        table = self._table(table_number)
         table.lines.clear()
         table.levels.clear()
         for joined in table.proxies:
             self._to_write[joined] = None
             joined.pending_bindings[table] = None
 
-    def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
-        joined, table = self.joined_proxies.get(int(proxy.name)), self._table(tbl)
+    def bind(self, proxy: Proxy, table_number: int, products: Sequence[Product]) -> None:
+        joined, table = self.joined_proxies.get(int(proxy.name)), self._table(table_number)
         if joined is None or joined.gateway is not proxy:
             return
         self._to_write[joined] = None
@@ -346,10 +346,10 @@
             if server in self._withdrawn or server in self._released:
                 joined.pending_withdrawals[server] = None
 
-    def set_withdrawn(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, withdrawn: bool) -> None:
         assert isinstance(worker, Server)
-        (self._withdrawn.add if out else self._withdrawn.discard)(worker)
-        if not out:
+        (self._withdrawn.add if withdrawn else self._withdrawn.discard)(worker)
+        if not withdrawn:
             self._released.add(worker)
         for table in self._tables.values():
             for joined in table.proxies if worker in table.lines else ():
@@ -364,21 +364,23 @@
                 assert isinstance(worker, Server)
                 joined.pending_withdrawals[worker] = None
 
-    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
+    def set_level(
+        self, table_number: int | None, products: Sequence[Product], level: float, retry: Retry
+    ) -> None:
         for product in products or self.products:
-            if tbl is None:
+            if table_number is None:
                 self._global_levels[product] = level, retry
             else:
-                self._table(tbl).levels[product] = level, retry
-            for table in self._tables.values() if tbl is None else (self._table(tbl),):
+                self._table(table_number).levels[product] = level, retry
+            for table in self._tables.values() if table_number is None else (self._table(table_number),):
                 for joined in table.proxies:
                     self._to_write[joined] = None
                     joined.pending_levels.setdefault(table, {})[product] = None
 
-    def checkpoint(self, number: int, everyone: bool) -> None:
-        for joined in self.joined_proxies.values() if everyone else self._to_write:
+    def checkpoint(self, mark: int, all_proxies: bool) -> None:
+        for joined in self.joined_proxies.values() if all_proxies else self._to_write:
             self._to_write[joined] = None
-            joined.pending_mark = number % MARK_MODULUS
+            joined.pending_mark = mark % MARK_MODULUS
 
     def probe(self, worker: Worker) -> None:
         assert isinstance(worker, Server)
@@ -387,7 +389,7 @@
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self._peer_messages.append((peer, data))
 
-    def watch_list(self, on: bool) -> None:
+    def watch_list(self, enabled: bool) -> None:
         """Does nothing: the discovery agent on the manager's own machine is always watched, so that changes
         arrive without a request."""
 
@@ -397,5 +399,5 @@
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
 
-    def log(self, words: str) -> None:
+    def log(self, text: str) -> None:
         """Does nothing: the module's log lines are meant for the simulator's report."""
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -126,10 +126,12 @@
     ) -> Sequence[tuple[Any, ...]]:
         return [order[1:] for order in (self.orders if orders is None else orders) if order[0] == name]
 
-    def table_weights(self, tbl: int) -> dict[Worker, float]:
+    def table_weights(self, table_number: int) -> dict[Worker, float]:
         """The lines of a table as its proxies hold them."""
         lines = {
-            worker: weight for number, worker, weight in self.orders_named("set_weight") if number == tbl
+            worker: weight
+            for number, worker, weight in self.orders_named("set_weight")
+            if number == table_number
         }
         return {worker: weight for worker, weight in lines.items() if weight}
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -186,14 +186,14 @@
         host = FakeHost(servers=24, gateways=240, zones=("a",), pending=9000.0)
         host.join(*host.gateways[:20])
         host.run(5)
-        whole = max(len(host.table_weights(tbl)) for _, tbl, _ in host.orders_named("bind"))
+        whole = max(len(host.table_weights(table_number)) for _, table_number, _ in host.orders_named("bind"))
         host.join(*host.gateways[20:])
         host.join(host.gateways[0])
         orders = host.run(1)
-        tables = {tbl for _, tbl, _ in host.orders_named("bind", orders)}
-        self.assertLess(min(len(host.table_weights(tbl)) for tbl in tables), 0.6 * whole)
+        tables = {table_number for _, table_number, _ in host.orders_named("bind", orders)}
+        self.assertLess(min(len(host.table_weights(table_number)) for table_number in tables), 0.6 * whole)
         host.run(30)
-        self.assertGreater(min(len(host.table_weights(tbl)) for tbl in tables), 0.6 * whole)
+        self.assertGreater(min(len(host.table_weights(table_number)) for table_number in tables), 0.6 * whole)
 
     def test_a_server_missing_from_a_full_list_is_gone(self) -> None:
         host = FakeHost()
@@ -235,7 +235,7 @@
         host.deliver(PeerMessage(1, struct.pack("<6f", 0, 0, 0, 0, 10, 0)))
         host.run(1)
         bound = host.orders_named("bind", host.join(host.gateways[1]))
-        self.assertTrue(all(host.table_weights(tbl) for _, tbl, _ in bound))
+        self.assertTrue(all(host.table_weights(table_number) for _, table_number, _ in bound))
 
 
 class HandoverTests(unittest.TestCase):
@@ -523,10 +523,10 @@
         host.join()
         host.run(2)
         bound = len(host.orders_named("bind"))
-        levels = {(tbl, level) for tbl, _, level, _ in host.orders_named("set_level")}
+        levels = {(table_number, level) for table_number, _, level, _ in host.orders_named("set_level")}
         lines = sum(
-            5 + len(host.table_weights(tbl)) + sum(tbl == other for other, _ in levels)
-            for _, tbl, _ in host.orders_named("bind")
+            5 + len(host.table_weights(table_number)) + sum(table_number == other for other, _ in levels)
+            for _, table_number, _ in host.orders_named("bind")
         )
         self.assertTrue(0 < bound < 40 and lines < 600)
         for gateway in host.gateways[:bound]:  # the lines pending for them are lost with their streams
@@ -538,8 +538,12 @@
         host = FakeHost(servers=48, gateways=40, zones=("a",))
         host.join()
         host.run(3)
-        self.assertLess(max(len(host.table_weights(tbl)) for _, tbl, _ in host.orders_named("bind")), 24)
-        self.assertEqual(len({server for tbl in range(4) for server in host.table_weights(tbl)}), 48)
+        self.assertLess(
+            max(len(host.table_weights(table_number)) for _, table_number, _ in host.orders_named("bind")), 24
+        )
+        self.assertEqual(
+            len({server for table_number in range(4) for server in host.table_weights(table_number)}), 48
+        )
 
     def test_a_release_does_not_change_the_teams_of_a_zone(self) -> None:
         """Unavailable servers used to count: a second team without a proxy got half of the zone."""
@@ -552,7 +556,7 @@
             host.run(2)
             host.send_listing(ListKind.CHANGES, host.servers.pop(0), state=Availability.GONE)
         host.run(6)
-        self.assertEqual({tbl for tbl, _, _ in host.orders_named("set_weight")}, {0})
+        self.assertEqual({table_number for table_number, _, _ in host.orders_named("set_weight")}, {0})
         self.assertTrue(set(host.servers) <= set(host.table_weights(0)))
 
     def shedding(self, seconds: int) -> FakeHost:
@@ -588,8 +592,15 @@
             host.rates = {gateway: rate for gateway in host.gateways if gateway.zone == "a"}
             host.join()
             host.run(20)
-            tables = {tbl for gateway, tbl, _ in host.orders_named("bind") if gateway.zone == "a"}
-            far = {server for tbl in tables for server in host.table_weights(tbl) if server.zone == "b"}
+            tables = {
+                table_number for gateway, table_number, _ in host.orders_named("bind") if gateway.zone == "a"
+            }
+            far = {
+                server
+                for table_number in tables
+                for server in host.table_weights(table_number)
+                if server.zone == "b"
+            }
             self.assertTrue(min_far <= len(far) <= max_far, (rate, len(far)))
 
     def test_moves_of_weights_take_half_of_the_channel(self) -> None:
@@ -602,8 +613,8 @@
                 server: 1.0 + 5.0 * ((index + k // 10) % 2) for index, server in enumerate(host.servers)
             }
             host.run(1)
-        proxies = Counter(tbl for _, tbl, _ in host.orders_named("bind"))  # by table
-        lines = sum(proxies[tbl] for tbl, _, _ in host.orders_named("set_weight")[before:])
+        proxies = Counter(table_number for _, table_number, _ in host.orders_named("bind"))  # by table
+        lines = sum(proxies[table_number] for table_number, _, _ in host.orders_named("set_weight")[before:])
         self.assertLess(lines, 0.6 * 40 * 1500)
 
     def test_no_more_lines_are_sent_than_have_drained(self) -> None:
@@ -757,7 +768,9 @@
     def test_a_joiner_gets_its_tables_and_levels_at_once(self) -> None:
         host = FakeHost()
         orders = host.join(host.gateways[0])
-        self.assertTrue(all(host.table_weights(tbl) for _, tbl, _ in host.orders_named("bind", orders)))
+        self.assertTrue(
+            all(host.table_weights(table_number) for _, table_number, _ in host.orders_named("bind", orders))
+        )
         self.assertEqual(
             {product for _, products, _, _ in host.orders_named("set_level") for product in products},
             {ASK, PAY},
