--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -536,7 +536,7 @@
         products: Sequence[Product],
         zones: Sequence[str],
         unit: LevelUnit,
-        usual_retry: Retry,
+        default_retry: Retry,
     ) -> None:
         self._host, self._outbox, self._fleet, self._demand = host, outbox, fleet, demand
         self._levels, self._unit, self._zones = levels, unit, zones
@@ -545,7 +545,7 @@
         self._move_debt, self._move_debt_at = 0.0, 0
         # The level of a table for which none was set. Setting it would cost each joiner lines (rule 3).
         self._default_level = (
-            0.0 if usual_retry is not Retry.UNSENT else 1e6 if unit is LevelUnit.RATE else 1.0
+            0.0 if default_retry is not Retry.UNSENT else 1e6 if unit is LevelUnit.RATE else 1.0
         )
         self._team_counts, self._planned_at = dict[str, int](), 0
         eligibility = [(product.models, product.zones, product.home_only) for product in products]
@@ -977,14 +977,14 @@
         channel: Channel,
         guarantee: Guarantee,
         level_unit: LevelUnit,
-        asks_list: bool,
-        may_tell: bool,
+        watches_list: bool,
+        may_send_to_peers: bool,
         slices: int,
-        usual: Retry = Retry.NEVER,
+        default_retry: Retry = Retry.NEVER,
     ) -> None:
         self._host, self._random, self._products = host, Random(seed).random, products
         self._sends_to_peers, self._list_retry_within, self._list_failures = (
-            may_tell and managers > 1,
+            may_send_to_peers and managers > 1,
             guarantee.list_retry_within,
             0,
         )
@@ -993,7 +993,15 @@
         self._demand = Demand(host, self._outbox, products, zones)
         self._levels = Levels(host, self._outbox, self._fleet, self._demand)
         self._tables = Tables(
-            host, self._outbox, self._fleet, self._demand, self._levels, products, zones, level_unit, usual
+            host,
+            self._outbox,
+            self._fleet,
+            self._demand,
+            self._levels,
+            products,
+            zones,
+            level_unit,
+            default_retry,
         )
         self._handlers: dict[type, Callable[..., None]] = (
             {}
@@ -1014,7 +1022,7 @@
         if not slices:  # tables of slices are not supported yet: the manager orders nothing
             # Managers that start together run their periods apart, so that their orders are spread out.
             host.wake(1 + int(self._random() * self._outbox.period), self.PERIOD)
-            if asks_list:
+            if watches_list:
                 host.watch_list(True)
 
     def handle(self, event: Event) -> None:
--- a/rushladder/conf/startup_settings.py
+++ b/rushladder/conf/startup_settings.py
@@ -66,11 +66,11 @@
             dropped_stay_open=bool(guarantees.get("dropped_stay_open", False)),
         ),
         "level_unit": LEVEL_UNITS[family["throttle_by"]],
-        "asks_list": settings["membership_mode"] == "subscribe",
+        "watches_list": settings["membership_mode"] == "subscribe",
         "may_probe": bool(limits["probes"]),
-        "may_tell": bool(limits["may_tell"]),
+        "may_send_to_peers": bool(limits["may_tell"]),
         "slices": int(family["key_ranges"]),
-        "usual": Retry(int(family.get("base_mode", 0))),
+        "default_retry": Retry(int(family.get("base_mode", 0))),
     }
 
 
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -179,8 +179,8 @@
             channel=channel,
             guarantee=guarantee,
             level_unit=level_unit,
-            asks_list=False,
-            may_tell=managers > 1,
+            watches_list=False,
+            may_send_to_peers=managers > 1,
             slices=0,
         )
         for listed in roster.listed.values():
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -262,7 +262,7 @@
 
     def start(self) -> None:
         config = self.config
-        if config.peer_listen is not None and config.manager_args["may_tell"]:
+        if config.peer_listen is not None and config.manager_args["may_send_to_peers"]:
             self._reactor.listenUDP(config.peer_listen[1], self.peer_link, interface=config.peer_listen[0])
         self.watch.start()
         self._log_figures()
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -66,9 +66,9 @@
             "channel": Channel(1500.0, pending, 3.0, cap, 10 * SECOND, 2000, 5000),
             "guarantee": Guarantee(80_000, 40_000, 150_000, 0.2, 3.0, 20_000, 100_000, False),
             "level_unit": LevelUnit.RATIO,
-            "asks_list": False,
+            "watches_list": False,
             "may_probe": True,
-            "may_tell": False,
+            "may_send_to_peers": False,
             "slices": 0,
         }
         self.manager_args = settings | overrides
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -226,12 +226,14 @@
         self.assertTrue(0 < host.table_weights(0)[host.servers[0]] < 15)
 
     def test_a_failed_list_call_is_retried_within_the_allowed_time(self) -> None:
-        host = FakeHost(asks_list=True)
+        host = FakeHost(watches_list=True)
         host.send_listing(ListKind.FAILED)
         self.assertTrue(host.orders_named("watch_list", host.run(3)))
 
     def test_a_product_without_demand_has_lines_at_a_joiner(self) -> None:
-        host = FakeHost(products=(ASK, replace(PAY, models=frozenset("m"))), managers=2, may_tell=True)
+        host = FakeHost(
+            products=(ASK, replace(PAY, models=frozenset("m"))), managers=2, may_send_to_peers=True
+        )
         host.deliver(PeerMessage(1, struct.pack("<6f", 0, 0, 0, 0, 10, 0)))
         host.run(1)
         bound = host.orders_named("bind", host.join(host.gateways[1]))
@@ -397,11 +399,11 @@
         self.assertTrue(all(level == 1 for _, _, level, _ in host.orders_named("set_level")))
 
     def test_a_default_level_is_not_sent(self) -> None:
-        host = FakeHost(usual=Retry.UNSENT)
+        host = FakeHost(default_retry=Retry.UNSENT)
         host.join()
         # It would cost each joiner a line for every product.
         self.assertFalse(host.orders_named("set_level", host.run(10)))
-        host = self.overloaded(usual=Retry.UNSENT)
+        host = self.overloaded(default_retry=Retry.UNSENT)
         host.run(10)
         self.assertLess(min(level for _, _, level, _ in host.orders_named("set_level")), 0.9)
 
