--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -155,15 +155,15 @@
                 manager.core.apply_times.clear()
 
             beats: Any = HdrHistogram(1, 10_000_000, 3)  # microseconds of CPU for one batch of events
-            take = manager.core.take
+            process_batch = manager.core.process_batch
 
             def timed(now: int, *events: Any) -> None:
                 began = time.process_time_ns()
-                take(now, *events)
+                process_batch(now, *events)
                 if len(cpu) == 1:  # between the two marks: nothing changes but what comes
                     beats.record_value(max(1, (time.process_time_ns() - began) // 1000))
 
-            manager.core.take = timed  # type: ignore[method-assign]
+            manager.core.process_batch = timed  # type: ignore[method-assign]
             waits: Any = HdrHistogram(
                 1, 600_000, 3
             )  # from sums given to the module to the message they led to
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -1,6 +1,6 @@
 """Hosts the decision module and turns its orders into the desired state of each gateway.
 
-`take` passes events to the module, which responds with orders that change shared tables, withdrawals and
+`process_batch` passes events to the module, which responds with orders that change shared tables, withdrawals and
 levels. Every gateway that uses a changed table is marked as pending. Its driver gets the commands that lead
 from the current to the desired state with `next_message`, and calls `message_applied` once they have
 succeeded. Orders issued before the next message are coalesced, so the backlog is bounded by the size of the
@@ -185,11 +185,11 @@
         )
         for listed in roster.listed.values():
             self._update_guard_server(listed.server)
-        self.take(now, roster.full(ListKind.CACHED))
+        self.process_batch(now, roster.full(ListKind.CACHED))
 
     # Input.
 
-    def take(self, now: int, *events: Event) -> None:
+    def process_batch(self, now: int, *events: Event) -> None:
         """Passes one batch of events to the module, after the reminders that are due by `now`."""
         self._now = max(now, self._now)
         for reminder in self._reminders.due(self._now):
@@ -213,7 +213,7 @@
         return self._reminders.next()
 
     def add_gateway(self, gateway: Gateway, held: GatewayContent, capped: bool = True) -> GatewaySession:
-        """Adds a gateway that this manager now holds; the caller passes the Joined event to `take`.
+        """Adds a gateway that this manager now holds; the caller passes the Joined event to `process_batch`.
 
         capped: whether the message cap applies; False for gateways that are not reached over a socket.
         """
@@ -441,7 +441,9 @@
             0,
         )
         if checkpoints:
-            self.take(now, *(Applied(session.gateway, checkpoint, elapsed) for checkpoint in checkpoints))
+            self.process_batch(
+                now, *(Applied(session.gateway, checkpoint, elapsed) for checkpoint in checkpoints)
+            )
 
     def line_counts(self) -> tuple[int, int]:
         """The lines ordered but not sent, and those sent but not acknowledged, summed over all gateways."""
--- a/rushladder/service/manager.py
+++ b/rushladder/service/manager.py
@@ -179,7 +179,7 @@
             memory.restore_guard(self.core.table_guard, now)
             memory.restore_trust(self.desk)
             products = {product.name: product for product in config.products}
-            self.core.take(now, memory.restore_learned(self.roster, products, now))
+            self.core.process_batch(now, memory.restore_learned(self.roster, products, now))
         self._wake_call: DelayedCall | None = None
         self._probes_in_flight = dict[Server, None]()
         self._stopped = False
@@ -211,7 +211,7 @@
         if self._stopped:
             return
         self.events += len(events)
-        self.core.take(clock_tenths(self.clock), *events)
+        self.core.process_batch(clock_tenths(self.clock), *events)
         self._carry_out_orders()
 
     def _carry_out_orders(self) -> None:
