--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -9,7 +9,7 @@
 1. No proxy is without a worker while one is ready and warm.
 2. No txn takes effect twice.
 3. Drains are kept within the grace.
-4. No cold worker is pushed over by too much load.
+4. No cold worker gets so much load that it fails.
 5. The channel's limit and the message cap are kept.
 """
 
@@ -231,7 +231,7 @@
             fails_tries = (
                 v >= 4 and v > 0.35 * n and voided - v < 0.1 * (count - n) and ratio * server.speed < 1.5
             )
-            # Under congestion all probes fail: excluding one server after the other would push over the rest.
+            # Under congestion all probes fail: excluding one server after the other would overload the rest.
             fails_probes = server.bad_probes >= 2 and not (
                 self.congested or server.recent_totals(now, 1 + demand.report_cycle())[2]
             )
@@ -341,7 +341,7 @@
     def report_cycle(self) -> int:
         """The seconds within which everyone reports once.
 
-        Windows are as long, because a fixed window could miss some reports and take a part for the whole.
+        Windows cover at least a cycle: a fixed window could miss some reports and take their part for all.
         """
         return max(1, min(8, round(self._report_span / SECOND)))
 
@@ -434,7 +434,7 @@
 
     def _assess(self) -> LoadSignal:
         """Detects overload as the design specifies it, but by the median server: a few failing servers are no
-        loss of capacity."""
+        lack of capacity."""
         # The settled rate needs a whole report cycle. For the median, the servers that reported last are as
         # good and fresher.
         now, serving = self._host.now(), self._fleet.in_service()
@@ -912,8 +912,8 @@
                 ),
                 key=lambda s: (s.published_state is not ServerState.SERVING, ramp(s), -abs(moves[s])),
             )
-            # Urgent: where most of a table was withdrawn, the rest gets everything, which pushes a cold
-            # server over (rule 4).
+            # Urgent: where most of a table was withdrawn, the rest gets everything, which overloads a cold
+            # server (rule 4).
             serving = {s: part for s, part in table.lines.items() if s.published_state is ServerState.SERVING}
             has_cold = any(ramp(server) < 1 for server in (*changed, *serving))
             urgent = 0.7 * (has_cold or total > 2 * sum(serving.values())) if serving else 1.0
@@ -939,8 +939,8 @@
                     self._host.set_weight(table.number, server, round(table.lines[server], 3))
                     self._outbox.lines.add(table.gateways)
             table.lines = {server: weight for server, weight in table.lines.items() if weight}
-            # At most the lines of a second: without this bound the urgent moves of a long release held up all
-            # others for ten seconds more.
+            # At most the lines of a second: without this bound the urgent moves of a long release delayed all
+            # others by ten more seconds.
             self._move_debt = min(
                 self._move_debt + self._outbox.lines.pending - pending, SECOND * self._outbox.lines_per_tenth
             )
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -1,8 +1,8 @@
 """Hosts the decision module and turns its orders into the desired state of each gateway.
 
-`process_batch` passes events to the module, which responds with orders that change shared tables, withdrawals and
-levels. Every gateway that uses a changed table is marked as pending. Its driver gets the commands that lead
-from the current to the desired state with `next_message`, and calls `message_applied` once they have
+`process_batch` passes events to the module, which responds with orders that change shared tables, withdrawals
+and levels. Every gateway that uses a changed table is marked as pending. Its driver gets the commands that
+lead from the current to the desired state with `next_message`, and calls `message_applied` once they have
 succeeded. Orders issued before the next message are coalesced, so the backlog is bounded by the size of the
 desired state and not by the number of changes.
 """
@@ -197,7 +197,7 @@
         for event in events:
             self.manager.handle(event)
             if isinstance(event, Listing):
-                self._listing(event)
+                self._on_listing(event)
         self.manager.end_batch()
         self._check_changed_tables()
         self._pending_sessions |= self._touched_sessions
@@ -335,7 +335,7 @@
             cold_from=self._cold_from,
         )
 
-    def _listing(self, event: Listing[Any]) -> None:
+    def _on_listing(self, event: Listing[Any]) -> None:
         for entry in event.entries:
             self._update_guard_server(entry.worker)
         known = {entry.worker for entry in event.entries}
--- a/rushladder/guard/history.py
+++ b/rushladder/guard/history.py
@@ -43,14 +43,14 @@
         self.refused = deque[RefusedChange](maxlen=MAX_KEPT)
         self._last = self.refusal_count = 0
 
-    def restore(self, versions: Iterable[Version], stands: int, refused: Iterable[RefusedChange]) -> None:
+    def restore(self, versions: Iterable[Version], current: int, refused: Iterable[RefusedChange]) -> None:
         """Restores the history after a restart.
 
         If the current version is missing, version 0 becomes current: operators' changes may be lost, but are
         never invented.
         """
         self._versions.update((version.number, version) for version in versions)
-        self.current = stands if stands in self._versions else 0
+        self.current = current if current in self._versions else 0
         self._last = max(self._versions)
         self.refused.extend(refused)
         self.refusal_count = len(self.refused)
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -27,7 +27,7 @@
 
 
 class Stage(Enum):
-    """How far a wave has come. The names are printed by `show wave`."""
+    """How far a wave has come. `show wave` prints the names; refusals and the log have the values."""
 
     FIRST = "first wave"
     MORE = "second wave"
--- a/rushladder/interface.py
+++ b/rushladder/interface.py
@@ -312,13 +312,17 @@
 class Host(Protocol):
     """The orders that a manager may give. All orders of one batch of events go out together."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The present time in tenths of a millisecond."""
+        ...
 
     def set_weight(self, table_number: int, worker: Worker, weight: float) -> None:
         """Sets a line of a shared table; a weight of 0 removes it."""
         ...
 
-    def clear_table(self, table_number: int) -> None: ...
+    def clear_table(self, table_number: int) -> None:
+        """Removes all lines and levels of a shared table."""
+        ...
 
     def bind(self, proxy: Proxy, table_number: int, products: Sequence[Product]) -> None:
         """Makes the proxy use the table for these products."""
@@ -341,21 +345,29 @@
         """Marks the messages of this batch, so that proxies report when they have applied them."""
         ...
 
-    def probe(self, worker: Worker) -> None: ...
+    def probe(self, worker: Worker) -> None:
+        """Probes the worker; a `Probed` event has the result."""
+        ...
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Sends a message to another manager, or (None) to all."""
         ...
 
-    def watch_list(self, enabled: bool) -> None: ...
+    def watch_list(self, enabled: bool) -> None:
+        """Asks for a `Listing` at each change of the list, or ends that."""
+        ...
 
-    def request_list(self) -> None: ...
+    def request_list(self) -> None:
+        """Asks for a `Listing` with the whole list."""
+        ...
 
     def wake(self, after: int, token: int) -> None:
         """Asks for a `Reminder` with this token."""
         ...
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Adds a line to the host's log."""
+        ...
 
 
 @dataclass(frozen=True)
--- a/rushladder/peers/raw_link.py
+++ b/rushladder/peers/raw_link.py
@@ -14,9 +14,12 @@
 
 
 class RawPeerLink(protocol.DatagramProtocol):
-    """peers: the address of each manager by its number, with our own; broadcast: the address that reaches
-    all, if there is one. received: takes the sender's number and its bytes. warn: takes the kind and the text
-    of a warning."""
+    """Sends own messages to other managers, and passes on those of known senders.
+
+    peers: the address of each manager by its number, with our own; broadcast: the address that reaches all,
+    if there is one. received: takes the sender's number and its bytes. warn: takes the kind and the text of a
+    warning.
+    """
 
     def __init__(
         self,
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -327,7 +327,7 @@
                 self._wakeup = self._reactor.callLater(delay, self._on_wakeup)
 
     def _probe(self, server: Server) -> None:
-        # One probe per worker at a time: a second one would tell no more than the late result of the first.
+        # One probe per worker at a time: a second one would show no more than the late result of the first.
         if server.name not in self.catalog.known or server in self._probes_in_flight:
             return
         self._probes_in_flight[server] = None
--- a/rushladder/service/probing.py
+++ b/rushladder/service/probing.py
@@ -1,8 +1,8 @@
 """HTTP probes of workers: one GET request on a connection of its own.
 
 A manager probes each of 200 workers once per control period, and a full HTTP client with its connection pool
-and URL handling took most of its processor time. Health probes read only the status line; h11 parses the
-response when its body is needed.
+and URL handling took the largest part of its processor time. Health probes read only the status line; h11
+parses the response when its body is needed.
 """
 
 from __future__ import annotations
--- a/rushladder/streams/channel_meter.py
+++ b/rushladder/streams/channel_meter.py
@@ -36,8 +36,11 @@
 
 
 class ChannelMeter:
-    """lines_per_s: the channel's rate; message_overhead: lines that each message costs beside its own. Times:
-    tenths of a millisecond on the caller's clock."""
+    """Counts the lines written by purpose, and estimates the channel's queue.
+
+    lines_per_s: the channel's rate; message_overhead: lines that each message costs beside its own. Times:
+    tenths of a millisecond on the caller's clock.
+    """
 
     def __init__(self, lines_per_s: float, message_overhead: float) -> None:
         self._lines_per_tenth, self._overhead = lines_per_s / TENTHS_PER_SECOND, message_overhead
--- a/tests/fake_cluster.py
+++ b/tests/fake_cluster.py
@@ -127,7 +127,7 @@
         self.down, self.hung, self.delay = set[str](), set[str](), 0.002
         # Called with the near end of each new connection, to change how its ends behave.
         self.on_connect: Callable[[str, FakeTransport], None] = lambda name, wire: None
-        self.draw = Random(3).random
+        self.random = Random(3).random
         for name in self.sites:
             self.start_gateway(name)
         self.servers = servers
@@ -149,7 +149,7 @@
         return text
 
     def start_gateway(self, name: str, pid: int = 1) -> GatewayState:
-        state = self.gateways[name] = GatewayState(("ask", "pay"), self.clock.seconds, pid, self.draw)
+        state = self.gateways[name] = GatewayState(("ask", "pay"), self.clock.seconds, pid, self.random)
         for product in state.backends:  # an initial table, as the proxy's own file has it
             state.add(product, "s0", "127.0.0.1:7000")
         state.heard = lambda words, answer: self.sent.append((self.clock.seconds(), name, words, answer))
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -561,31 +561,31 @@
         self.assertEqual({table_number for table_number, _, _ in host.orders_named("set_weight")}, {0})
         self.assertTrue(set(host.servers) <= set(host.table_weights(0)))
 
-    def shedding(self, seconds: int) -> FakeHost:
+    def overloaded_host(self, seconds: int) -> FakeHost:
         """A manager with many proxies whose levels change every period for `seconds`."""
         host = FakeHost(servers=15, gateways=88, zones=("a",), pending=3000.0)
         host.join()
         host.run(8)
         host.slowdown = dict.fromkeys(host.servers, 4.0)
-        self.shed(host, seconds)
+        self.run_with_changing_load(host, seconds)
         return host
 
-    def shed(self, host: FakeHost, seconds: int) -> None:
+    def run_with_changing_load(self, host: FakeHost, seconds: int) -> None:
         for k in range(seconds):
             host.rate = 30 + 25 * (k % 2)
             host.run(1)
 
     def test_a_server_added_by_a_release_gets_its_line_while_levels_change(self) -> None:
-        host = self.shedding(6)
+        host = self.overloaded_host(6)
         host.servers.append(Server("new", "a", "m", 0))
         host.send_listing(ListKind.CHANGES, host.servers[-1])
-        self.shed(host, 3)
+        self.run_with_changing_load(host, 3)
         self.assertIn(host.servers[-1], host.table_weights(0))
 
     def test_weights_are_sent_along_with_levels_the_greatest_moves_first(self) -> None:
-        host = self.shedding(6)
+        host = self.overloaded_host(6)
         host.slowdown[host.servers[14]], before = 14.0, host.table_weights(0)[host.servers[14]]
-        self.shed(host, 8)
+        self.run_with_changing_load(host, 8)
         self.assertLess(host.table_weights(0)[host.servers[14]], 0.7 * before)
 
     def test_a_small_surplus_goes_to_few_far_servers_and_a_large_one_to_all(self) -> None:
@@ -634,7 +634,7 @@
         host.run(3)
         host.silent.add(host.gateways[0])
         host.slowdown = dict.fromkeys(host.servers, 4.0)
-        self.shed(host, 200)
+        self.run_with_changing_load(host, 200)
         new = Server("new", "a", "m", 0)
         host.send_listing(ListKind.CHANGES, new)
         host.run(5)
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -34,9 +34,9 @@
         self.assertTrue(any(rounded.values()))
         self.assertTrue(all(rounded[line] for line in lines if line not in cold))
         if set(lines) - cold:
-            whole, total = sum(lines.values()), sum(rounded.values())
+            weight_sum, rounded_sum = sum(lines.values()), sum(rounded.values())
             for line in cold & set(lines):
-                self.assertLessEqual(rounded[line] / total, lines[line] / whole + 1e-9)
+                self.assertLessEqual(rounded[line] / rounded_sum, lines[line] / weight_sum + 1e-9)
 
     @settings(derandomize=True, deadline=None)
     @given(pools, st.floats(0.8, 1.25))
@@ -247,14 +247,19 @@
     def test_every_step_is_safe_and_the_result_is_as_wanted(
         self, held: dict[Key, Line], wanted: dict[Key, Line], cold: set[str]
     ) -> None:
-        now, whole = (
+        now, usable_before_and_after = (
             dict(held),
             {p: has_usable_line(held, p) and has_usable_line({**held, **wanted}, p) for p in "pq"},
         )
         for command in server_commands(held, wanted, cold):
             apply_commands(now, [command])
             self.assertTrue(
-                all(has_usable_line(now, backend) for backend, kept in whole.items() if kept), command
+                all(
+                    has_usable_line(now, backend)
+                    for backend, is_usable in usable_before_and_after.items()
+                    if is_usable
+                ),
+                command,
             )
         for key, line in wanted.items():
             if key in held or (line.weight and line.admin is AdminState.READY):
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -137,9 +137,13 @@
     def test_the_suggested_weight_is_accepted_and_ten_percent_more_is_refused(self) -> None:
         fleet = Fleet()
         refusal = fleet.guard.judge([(Line("ask-a", "a4", 40.0),)], fleet.now).refused[0]
-        least = float(refusal.acceptable.split()[3])
-        self.assertTrue(fleet.guard.judge([(Line("ask-a", "a4", 1.1 * least),)], fleet.now).refused)
-        self.assertFalse(fleet.guard.judge([(Line("ask-a", "a4", 0.99 * least),)], fleet.now).refused)
+        acceptable_weight = float(refusal.acceptable.split()[3])
+        self.assertTrue(
+            fleet.guard.judge([(Line("ask-a", "a4", 1.1 * acceptable_weight),)], fleet.now).refused
+        )
+        self.assertFalse(
+            fleet.guard.judge([(Line("ask-a", "a4", 0.99 * acceptable_weight),)], fleet.now).refused
+        )
 
     def test_a_bad_group_is_refused_as_a_whole_without_effect_on_others(self) -> None:
         fleet = Fleet()
@@ -161,9 +165,8 @@
         self.assertFalse(verdict.refused)
         self.assertEqual({fill.pool for fill in verdict.fills}, {"ask-a", "pay-a", "map-a"})
         self.assertTrue(all(fill.server[0] == "b" and fill.server != "b4" for fill in verdict.fills))
-        self.assertEqual(
-            fleet.projection.pools["home-a"].usable_count, 0
-        )  # no server is eligible, so rule 1 does not apply
+        # No server is eligible, so rule 1 does not apply.
+        self.assertEqual(fleet.projection.pools["home-a"].usable_count, 0)
 
     def test_a_change_is_judged_together_with_those_accepted_before(self) -> None:
         fleet = Fleet()
@@ -336,7 +339,7 @@
         for name in disabled:
             check = getattr(Admission, name)
             for table in tables:
-                setattr(module, table, tuple(one for one in kept[table] if one is not check))
+                setattr(module, table, tuple(other for other in kept[table] if other is not check))
             try:
                 detected = bool(failed_rows())
             except KeyError:
@@ -372,12 +375,16 @@
             st.tuples(st.sampled_from("abc"), st.floats(0.1, 50), st.integers(0, 2)), min_size=1, max_size=12
         )
     )
-    def test_the_shares_of_all_managers_add_up_to_one(self, some: list[tuple[str, float, int]]) -> None:
-        gateways = [(f"g{k}", region, rate) for k, (region, rate, _) in enumerate(some)]
+    def test_the_shares_of_all_managers_add_up_to_one(
+        self, assignments: list[tuple[str, float, int]]
+    ) -> None:
+        gateways = [(f"g{k}", region, rate) for k, (region, rate, _) in enumerate(assignments)]
         servers = {f"{region}{k}": region for region in "abc" for k in range(2)}
         parts = [
             limit_shares(
-                servers, gateways, frozenset(f"g{k}" for k, one in enumerate(some) if one[2] == manager)
+                servers,
+                gateways,
+                frozenset(f"g{k}" for k, assignment in enumerate(assignments) if assignment[2] == manager),
             )
             for manager in range(3)
         ]
