--- a/rushladder/benchlink/__main__.py
+++ b/rushladder/benchlink/__main__.py
@@ -7,6 +7,7 @@
 
 
 def main() -> int:
+    """Runs the adapter. Returns 2 if the input violates the protocol, 1 if the output was closed."""
     try:
         Adapter(sys.stdin.buffer, sys.stdout.buffer).run()
     except ProtocolError as error:
--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -134,6 +134,7 @@
         return 1 + (used > 0.3) + (used > 0.6)
 
     def remove(self, gateway: Gateway) -> None:
+        """Removes a proxy that left, with its pending lines."""
         self.lines.remove(gateway)
         self.proxies.leave(gateway)
 
@@ -170,6 +171,7 @@
         return min(1.0, self._cold_from + (1 - self._cold_from) * max(0.0, age))
 
     def in_service(self) -> list[Server]:
+        """The servers that may get txns."""
         return [server for server in self.servers if server.state is ServerState.SERVING]
 
     def _transition(self, server: Server, signal: ServerSignal) -> None:
@@ -253,6 +255,7 @@
             server.factor += max(-step, min(step, target - server.factor))
 
     def on_tries(self, event: Tries[Server]) -> None:
+        """Adds reported tries to the server's sums for the zone of the proxies."""
         settled = event.count - event.voided
         # Whoever receives load reports bounds and weighs the hint; a protocol without reports gives none.
         event.worker.hint = event.load.get("hint", 1.0)
@@ -281,6 +284,7 @@
                 server.exclusion_time, server.excluded_until = learned.exclusion_time, learned.excluded_until
 
     def learned_workers(self) -> list[LearnedWorker[Server]]:
+        """The estimates of all servers that have any."""
         return [
             LearnedWorker(s, s.speed, s.factor, s.report_count, s.exclusion_time, s.excluded_until)
             for s in self.servers
@@ -288,6 +292,7 @@
         ]
 
     def on_probed(self, event: Probed[Server]) -> None:
+        """Counts the successful and the failed probes in a row."""
         server, good = event.worker, event.result is ProbeResult.OK
         if event.result is not ProbeResult.REJECTED:  # too many requests at once say nothing of its health
             server.good_probes = good * (server.good_probes + 1)
@@ -333,6 +338,7 @@
         self.mix = {p: (not p.models) / (sum(not q.models for q in products) or 1) for p in products}
 
     def on_arrivals(self, event: Arrivals[Gateway]) -> None:
+        """Adds reported arrivals, and tracks the usual span of reports."""
         if event.proxy in self._outbox.proxies.joined:
             event.proxy.arrivals[event.product].add(self._host.now(), event.count, event.span)
             event.proxy.rates_key = -1, 0
@@ -364,6 +370,7 @@
         return gateway.rates
 
     def on_left(self, gateway: Gateway) -> None:
+        """Remembers the demand of a proxy that leaves."""
         self._departed.append((self._host.now(), [self.rates(gateway)[p] for p in self._products]))
 
     def update(self) -> None:
@@ -386,6 +393,7 @@
         return struct.pack(self._message_format, *self.own_totals, *self.own_rates().values())
 
     def on_peer_message(self, event: PeerMessage) -> None:
+        """Stores a peer's message; one of another length is ignored."""
         if len(event.data) == struct.calcsize(self._message_format):
             self._peer_reports[event.peer] = self._host.now(), struct.unpack(self._message_format, event.data)
 
@@ -394,6 +402,7 @@
         return [report for at, report in self._peer_reports.values() if at > self._host.now() - 3 * SECOND]
 
     def own_rates(self) -> dict[tuple[str, Product], float]:
+        """Txns a second at this manager's proxies, by zone and product."""
         own = {
             zone: [self.rates(gateway) for gateway in self._outbox.proxies.in_zone(zone)]
             for zone, _ in self._keys
@@ -401,6 +410,7 @@
         return {(zone, product): sum(rates[product] for rates in own[zone]) for zone, product in self._keys}
 
     def peer_rates(self) -> dict[tuple[str, Product], float]:
+        """Txns a second at all peers' proxies, by zone and product."""
         return {
             key: sum(report[2 + index] for report in self.peer_reports())
             for index, key in enumerate(self._keys)
--- a/rushladder/catalog/watch.py
+++ b/rushladder/catalog/watch.py
@@ -71,6 +71,7 @@
         self._valid_since: float | None = None
 
     def start(self) -> None:
+        """Requests the changes since the known version, or the full list after a malformed line."""
         self._attempt += 1
         attempt = self._attempt
         url = f"http://{self._address}{WATCH_PATH}{0 if self._needs_full else self._catalog.version}".encode()
@@ -90,6 +91,7 @@
             self.start()
 
     def stop(self) -> None:
+        """Ends the watch for good."""
         self._close()
         self._stop_previous()
         self._attempt += 1
@@ -109,6 +111,7 @@
         return True
 
     def lines_received(self, body: _ResponseBody, lines: list[bytes]) -> None:
+        """Applies the lines of a response; after a malformed one, the full list is requested."""
         if body is self._body:
             self._data_received()
         elif body is not self._previous_body:
@@ -135,6 +138,7 @@
             self._needs_full, self._valid_since = False, self._clock.seconds()
 
     def body_ended(self, body: _ResponseBody) -> None:
+        """Retries if the response that ended was the current one."""
         if body is self._previous_body:
             self._previous_body = None
         if body is self._body:
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -105,6 +105,7 @@
         self.messages = 0
 
     def mark_pending(self, product: Product, urgent: bool = False) -> None:
+        """Marks a product's lines as pending. An urgent message may use the messages reserved by the cap."""
         self.pending_products[product] = None
         self.pending_lines += 1
         self.urgent = self.urgent or urgent
--- a/rushladder/core/reminders.py
+++ b/rushladder/core/reminders.py
@@ -24,4 +24,5 @@
             yield Reminder(heapq.heappop(self._due)[2])
 
     def next(self) -> int | None:
+        """When the next reminder is due, or None."""
         return self._due[0][0] if self._due else None
--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -64,10 +64,12 @@
 
 
 def parse_command(text: str) -> Command:
+    """Builds a command from words separated by spaces."""
     return Command(tuple(text.split()))
 
 
 def set_var(name: str, value: str) -> Command:
+    """The command that sets a variable to a string."""
     return Command(("set", "var", name, f"str({value})"))
 
 
--- a/rushladder/guard/projection.py
+++ b/rushladder/guard/projection.py
@@ -62,6 +62,7 @@
     usable_count: int = 0  # number of those lines
 
     def share(self, server: Server) -> float:
+        """The server's share of the pool's usable weight; 0 while it is not ready."""
         weight = self.lines.get(server, 0.0)
         return weight / self.usable_weight if server.ready and self.usable_weight > 0 else 0.0
 
@@ -92,6 +93,7 @@
         self._push_rank(pool)
 
     def drop_pool(self, name: str) -> None:
+        """Removes a pool and its load on the servers."""
         pool = self.pools.pop(name, None)
         if pool is not None:
             for server in list(pool.lines):
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -34,6 +34,7 @@
         self.inbox = Inbox(peers.keys())
 
     def send(self, data: bytes) -> None:
+        """Sends a message to all peers; one that is too long is not sent."""
         self._number += 1
         datagram = Word(
             mark=MAGIC, manager=self._manager, boot=self._boot, number=self._number, data=data
--- a/rushladder/records.py
+++ b/rushladder/records.py
@@ -110,6 +110,7 @@
         return self._usual_rates.get((zone, team), 0.0)
 
     def unbound_by_team(self) -> Counter[tuple[str, int]]:
+        """How many proxies of each zone and team are not yet bound."""
         return Counter((gateway.zone, gateway.team) for gateway in self.unbound)
 
     def member_count(self, zone: str, team: int) -> int:
--- a/rushladder/service/node.py
+++ b/rushladder/service/node.py
@@ -261,6 +261,7 @@
         self._process_batch([listing] if listing is not None else [])
 
     def start(self) -> None:
+        """Starts to watch discovery, to log figures, and to accept connections."""
         config = self.config
         if config.peer_listen is not None and config.manager_args["may_send_to_peers"]:
             self._reactor.listenUDP(config.peer_listen[1], self.peer_link, interface=config.peer_listen[0])
@@ -283,6 +284,7 @@
     # Clocks.
 
     def now(self) -> int:
+        """The module's clock."""
         return CLOCK_START_TENTHS + int((self._monotonic() - self._started) * TENTHS_PER_SECOND)
 
     def from_unix_ms(self, unix_ms: float) -> int:
@@ -293,6 +295,7 @@
     # Batches: all events that were read in one turn of the reactor are handled together.
 
     def add_event(self, event: Event) -> None:
+        """Adds an event to the batch of this turn of the reactor."""
         self._batch.append(event)
         if not self._batch_scheduled:
             self._batch_scheduled = True
--- a/rushladder/service/throttled_log.py
+++ b/rushladder/service/throttled_log.py
@@ -19,6 +19,7 @@
         self.counts, self._logged = dict[str, int](), dict[str, tuple[float, int]]()
 
     def warn(self, kind: str, reason: str) -> None:
+        """Counts a warning, and logs it unless one of its kind was logged within the interval."""
         if kind not in self.counts and len(self.counts) >= MAX_KINDS:
             kind = "others"
         count = self.counts[kind] = self.counts.get(kind, 0) + 1
--- a/rushladder/streams/host.py
+++ b/rushladder/streams/host.py
@@ -52,6 +52,7 @@
         self.clear_pending()
 
     def clear_pending(self) -> None:
+        """Resets the pending orders to none."""
         self.pending_bindings, self.pending_rows = (
             dict[SharedTable, None](),
             dict[SharedTable, dict[Server, None]](),
--- a/rushladder/streams/listener.py
+++ b/rushladder/streams/listener.py
@@ -254,6 +254,7 @@
         return Connection(self)
 
     def connection_opened(self, connection: Connection) -> None:
+        """Registers a connection, and makes room for it if too many are open."""
         self.connections[connection] = self.unidentified[connection] = None
         # The time limit of rule 3 also runs for a proxy that isn't accepted, so the oldest client that has
         # not joined is closed for the new one.
@@ -278,6 +279,7 @@
             self.add_event(event)
 
     def add_collector(self, connection: Connection) -> None:
+        """Registers a zone's collector; refuses the oldest one beyond the limit."""
         del self.unidentified[connection]
         of_zone = self._collectors.setdefault(connection.zone, [])
         of_zone.append(connection)
@@ -285,6 +287,7 @@
             of_zone[0].refuse("collector", "too many newer connections have named its zone")
 
     def add_stream(self, connection: Connection, message: Subscribe) -> None:
+        """Joins the proxy of this connection to the host."""
         del self.unidentified[connection]
         for event in self.host.join(message.proxy, message.zone, message.weight, message.fresh, connection):
             self.add_event(event)
