--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -760,7 +760,7 @@
     def test_end_of_the_former_watch_does_not_end_the_new_request(self) -> None:
         self.discovery.respond()
         self.watch.move("127.0.0.1:2")
-        self.discovery.bodies[0].connectionLost()  # the platform announces this for 1.5 s after the move
+        self.discovery.bodies[0].connectionLost()  # as the platform does 1.5 s after the move
         self.assertEqual(len(self.discovery.requested_urls), 2)
         self.discovery.respond()
         self.discovery.bodies[-1].dataReceived(listing(3, entry("a")) + b"\n")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -360,7 +360,7 @@
         self.assertEqual(new.watch_index(), "41")
         watch.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
-        watch.sock.close()  # the platform announces this for 1.5 s later; the new watch stays
+        watch.sock.close()  # as the platform does 1.5 s after the move; the new watch stays
         new.send(HEAD)
         new.chunk(listing(42, entry("s-2", state="draining")) + listing(43, entry("s-1", state="draining")))
         proxy.until("drop=s-1")
@@ -613,9 +613,8 @@
             received_at.append(time.monotonic())
             connection.sock.close()
         connection = manager.connect().join(3)
-        if (
-            received_at[-1] - received_at[0] < 6
-        ):  # otherwise the machine was too slow for all to fit into one window of the cap
+        # Otherwise the machine was too slow for all messages to fall into one window of the cap.
+        if received_at[-1] - received_at[0] < 6:
             self.assertTrue(connection.quiet(2.0))
         connection.until("replace=1")  # and then it is bound without a further event
         self.assertGreater(time.monotonic() - received_at[0], 10)
