--- a/rushladder/guard/limit_shares.py
+++ b/rushladder/guard/limit_shares.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Mapping, Sequence
 
-# Weight of a gateway in other regions. It is small because the decision module keeps txns in their region
-# until utilization is even.
+# Part of a gateway's txns that may go to other regions, used as its weight there. It is small because the
+# decision module keeps txns in their region until utilization is even.
 REMOTE_WEIGHT = 0.25
 
 
