--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -170,15 +170,15 @@
 
             # CPU time of one batch of events, microseconds.
             tick_histogram: Any = HdrHistogram(1, 10_000_000, 3)
-            original_take = manager.core.take
+            original_process_batch = manager.core.process_batch
 
-            def timed_take(now: int, *events: Any) -> None:
+            def timed_process_batch(now: int, *events: Any) -> None:
                 started = time.process_time_ns()
-                original_take(now, *events)
+                original_process_batch(now, *events)
                 if len(cpu_marks) == 1:  # only in the quiet phase: no server changes
                     tick_histogram.record_value(max(1, (time.process_time_ns() - started) // 1000))
 
-            manager.core.take = timed_take  # type: ignore[method-assign]
+            manager.core.process_batch = timed_process_batch  # type: ignore[method-assign]
             # From handing traffic sums to the decision module to the message they lead to, tenths of a ms.
             reaction_histogram: Any = HdrHistogram(1, 600_000, 3)
             original_take_events, original_next_message, taken_at = (
--- a/rushladder/brain.py
+++ b/rushladder/brain.py
@@ -9,7 +9,7 @@
 1. No proxy is without a worker while one is ready and warm.
 2. No txn takes effect twice.
 3. Drains are kept within the grace.
-4. No cold worker is pushed over by too much load.
+4. No cold worker gets so much load that it fails.
 5. The channel's limit and the message cap are kept.
 """
 
@@ -134,6 +134,7 @@
         return 1 + (used > 0.3) + (used > 0.6)
 
     def remove(self, gateway: Gateway) -> None:
+        """Removes a proxy that left, with its pending lines."""
         self.lines.remove(gateway)
         self.proxies.leave(gateway)
 
@@ -170,6 +171,7 @@
         return min(1.0, self._cold_from + (1 - self._cold_from) * max(0.0, age))
 
     def in_service(self) -> list[Server]:
+        """The servers that may get txns."""
         return [server for server in self.servers if server.state is ServerState.SERVING]
 
     def _transition(self, server: Server, signal: ServerSignal) -> None:
@@ -231,7 +233,7 @@
             fails_tries = (
                 v >= 4 and v > 0.35 * n and voided - v < 0.1 * (count - n) and ratio * server.speed < 1.5
             )
-            # Under congestion all probes fail: excluding one server after the other would push over the rest.
+            # Under congestion all probes fail: excluding one server after the other would overload the rest.
             fails_probes = server.bad_probes >= 2 and not (
                 self.congested or server.recent_totals(now, 1 + demand.report_cycle())[2]
             )
@@ -253,6 +255,7 @@
             server.factor += max(-step, min(step, target - server.factor))
 
     def on_tries(self, event: Tries[Server]) -> None:
+        """Adds reported tries to the server's sums for the zone of the proxies."""
         settled = event.count - event.voided
         # Whoever receives load reports bounds and weighs the hint; a protocol without reports gives none.
         event.worker.hint = event.load.get("hint", 1.0)
@@ -281,6 +284,7 @@
                 server.exclusion_time, server.excluded_until = learned.exclusion_time, learned.excluded_until
 
     def learned_workers(self) -> list[LearnedWorker[Server]]:
+        """The estimates of all servers that have any."""
         return [
             LearnedWorker(s, s.speed, s.factor, s.report_count, s.exclusion_time, s.excluded_until)
             for s in self.servers
@@ -288,6 +292,7 @@
         ]
 
     def on_probed(self, event: Probed[Server]) -> None:
+        """Counts the successful and the failed probes in a row."""
         server, good = event.worker, event.result is ProbeResult.OK
         if event.result is not ProbeResult.REJECTED:  # too many requests at once say nothing of its health
             server.good_probes = good * (server.good_probes + 1)
@@ -333,6 +338,7 @@
         self.mix = {p: (not p.models) / (sum(not q.models for q in products) or 1) for p in products}
 
     def on_arrivals(self, event: Arrivals[Gateway]) -> None:
+        """Adds reported arrivals, and tracks the usual span of reports."""
         if event.proxy in self._outbox.proxies.joined:
             event.proxy.arrivals[event.product].add(self._host.now(), event.count, event.span)
             event.proxy.rates_key = -1, 0
@@ -341,7 +347,7 @@
     def report_cycle(self) -> int:
         """The seconds within which everyone reports once.
 
-        Windows are as long, because a fixed window could miss some reports and take a part for the whole.
+        Windows cover at least a cycle: a fixed window could miss some reports and take their part for all.
         """
         return max(1, min(8, round(self._report_span / SECOND)))
 
@@ -364,6 +370,7 @@
         return gateway.rates
 
     def on_left(self, gateway: Gateway) -> None:
+        """Remembers the demand of a proxy that leaves."""
         self._departed.append((self._host.now(), [self.rates(gateway)[p] for p in self._products]))
 
     def update(self) -> None:
@@ -386,6 +393,7 @@
         return struct.pack(self._message_format, *self.own_totals, *self.own_rates().values())
 
     def on_peer_message(self, event: PeerMessage) -> None:
+        """Stores a peer's message; one of another length is ignored."""
         if len(event.data) == struct.calcsize(self._message_format):
             self._peer_reports[event.peer] = self._host.now(), struct.unpack(self._message_format, event.data)
 
@@ -394,6 +402,7 @@
         return [report for at, report in self._peer_reports.values() if at > self._host.now() - 3 * SECOND]
 
     def own_rates(self) -> dict[tuple[str, Product], float]:
+        """Txns a second at this manager's proxies, by zone and product."""
         own = {
             zone: [self.rates(gateway) for gateway in self._outbox.proxies.in_zone(zone)]
             for zone, _ in self._keys
@@ -401,6 +410,7 @@
         return {(zone, product): sum(rates[product] for rates in own[zone]) for zone, product in self._keys}
 
     def peer_rates(self) -> dict[tuple[str, Product], float]:
+        """Txns a second at all peers' proxies, by zone and product."""
         return {
             key: sum(report[2 + index] for report in self.peer_reports())
             for index, key in enumerate(self._keys)
@@ -434,7 +444,7 @@
 
     def _assess(self) -> LoadSignal:
         """Detects overload as the design specifies it, but by the median server: a few failing servers are no
-        loss of capacity."""
+        lack of capacity."""
         # The settled rate needs a whole report cycle. For the median, the servers that reported last are as
         # good and fresher.
         now, serving = self._host.now(), self._fleet.in_service()
@@ -536,7 +546,7 @@
         products: Sequence[Product],
         zones: Sequence[str],
         unit: LevelUnit,
-        usual_retry: Retry,
+        default_retry: Retry,
     ) -> None:
         self._host, self._outbox, self._fleet, self._demand = host, outbox, fleet, demand
         self._levels, self._unit, self._zones = levels, unit, zones
@@ -545,7 +555,7 @@
         self._move_debt, self._move_debt_at = 0.0, 0
         # The level of a table for which none was set. Setting it would cost each joiner lines (rule 3).
         self._default_level = (
-            0.0 if usual_retry is not Retry.UNSENT else 1e6 if unit is LevelUnit.RATE else 1.0
+            0.0 if default_retry is not Retry.UNSENT else 1e6 if unit is LevelUnit.RATE else 1.0
         )
         self._team_counts, self._planned_at = dict[str, int](), 0
         eligibility = [(product.models, product.zones, product.home_only) for product in products]
@@ -912,8 +922,8 @@
                 ),
                 key=lambda s: (s.published_state is not ServerState.SERVING, ramp(s), -abs(moves[s])),
             )
-            # Urgent: where most of a table was withdrawn, the rest gets everything, which pushes a cold
-            # server over (rule 4).
+            # Urgent: where most of a table was withdrawn, the rest gets everything, which overloads a cold
+            # server (rule 4).
             serving = {s: part for s, part in table.lines.items() if s.published_state is ServerState.SERVING}
             has_cold = any(ramp(server) < 1 for server in (*changed, *serving))
             urgent = 0.7 * (has_cold or total > 2 * sum(serving.values())) if serving else 1.0
@@ -939,8 +949,8 @@
                     self._host.set_weight(table.number, server, round(table.lines[server], 3))
                     self._outbox.lines.add(table.gateways)
             table.lines = {server: weight for server, weight in table.lines.items() if weight}
-            # At most the lines of a second: without this bound the urgent moves of a long release held up all
-            # others for ten seconds more.
+            # At most the lines of a second: without this bound the urgent moves of a long release delayed all
+            # others by ten more seconds.
             self._move_debt = min(
                 self._move_debt + self._outbox.lines.pending - pending, SECOND * self._outbox.lines_per_tenth
             )
@@ -977,14 +987,14 @@
         channel: Channel,
         guarantee: Guarantee,
         level_unit: LevelUnit,
-        asks_list: bool,
-        may_tell: bool,
+        watches_list: bool,
+        may_send_to_peers: bool,
         slices: int,
-        usual: Retry = Retry.NEVER,
+        default_retry: Retry = Retry.NEVER,
     ) -> None:
         self._host, self._random, self._products = host, Random(seed).random, products
         self._sends_to_peers, self._list_retry_within, self._list_failures = (
-            may_tell and managers > 1,
+            may_send_to_peers and managers > 1,
             guarantee.list_retry_within,
             0,
         )
@@ -993,7 +1003,15 @@
         self._demand = Demand(host, self._outbox, products, zones)
         self._levels = Levels(host, self._outbox, self._fleet, self._demand)
         self._tables = Tables(
-            host, self._outbox, self._fleet, self._demand, self._levels, products, zones, level_unit, usual
+            host,
+            self._outbox,
+            self._fleet,
+            self._demand,
+            self._levels,
+            products,
+            zones,
+            level_unit,
+            default_retry,
         )
         self._handlers: dict[type, Callable[..., None]] = (
             {}
@@ -1014,7 +1032,7 @@
         if not slices:  # tables of slices are not supported yet: the manager orders nothing
             # Managers that start together run their periods apart, so that their orders are spread out.
             host.wake(1 + int(self._random() * self._outbox.period), self.PERIOD)
-            if asks_list:
+            if watches_list:
                 host.watch_list(True)
 
     def handle(self, event: Event) -> None:
--- a/rushladder/core/host.py
+++ b/rushladder/core/host.py
@@ -1,8 +1,8 @@
 """Hosts the decision module and turns its orders into the desired state of each gateway.
 
-`take` passes events to the module, which responds with orders that change shared tables, withdrawals and
-levels. Every gateway that uses a changed table is marked as pending. Its driver gets the commands that lead
-from the current to the desired state with `next_message`, and calls `message_applied` once they have
+`process_batch` passes events to the module, which responds with orders that change shared tables, withdrawals
+and levels. Every gateway that uses a changed table is marked as pending. Its driver gets the commands that
+lead from the current to the desired state with `next_message`, and calls `message_applied` once they have
 succeeded. Orders issued before the next message are coalesced, so the backlog is bounded by the size of the
 desired state and not by the number of changes.
 """
@@ -105,6 +105,7 @@
         self.messages = 0
 
     def mark_pending(self, product: Product, urgent: bool = False) -> None:
+        """Marks a product's lines as pending. An urgent message may use the messages reserved by the cap."""
         self.pending_products[product] = None
         self.pending_lines += 1
         self.urgent = self.urgent or urgent
@@ -179,17 +180,17 @@
             channel=channel,
             guarantee=guarantee,
             level_unit=level_unit,
-            asks_list=False,
-            may_tell=managers > 1,
+            watches_list=False,
+            may_send_to_peers=managers > 1,
             slices=0,
         )
         for listed in roster.listed.values():
             self._update_guard_server(listed.server)
-        self.take(now, roster.full(ListKind.CACHED))
+        self.process_batch(now, roster.full(ListKind.CACHED))
 
     # Input.
 
-    def take(self, now: int, *events: Event) -> None:
+    def process_batch(self, now: int, *events: Event) -> None:
         """Passes one batch of events to the module, after the reminders that are due by `now`."""
         self._now = max(now, self._now)
         for reminder in self._reminders.due(self._now):
@@ -197,7 +198,7 @@
         for event in events:
             self.manager.handle(event)
             if isinstance(event, Listing):
-                self._listing(event)
+                self._on_listing(event)
         self.manager.end_batch()
         self._check_changed_tables()
         self._pending_sessions |= self._touched_sessions
@@ -213,7 +214,7 @@
         return self._reminders.next()
 
     def add_gateway(self, gateway: Gateway, held: GatewayContent, capped: bool = True) -> GatewaySession:
-        """Adds a gateway that this manager now holds; the caller passes the Joined event to `take`.
+        """Adds a gateway that this manager now holds; the caller passes the Joined event to `process_batch`.
 
         capped: whether the message cap applies; False for gateways that are not reached over a socket.
         """
@@ -335,7 +336,7 @@
             cold_from=self._cold_from,
         )
 
-    def _listing(self, event: Listing[Any]) -> None:
+    def _on_listing(self, event: Listing[Any]) -> None:
         for entry in event.entries:
             self._update_guard_server(entry.worker)
         known = {entry.worker for entry in event.entries}
@@ -441,7 +442,9 @@
             0,
         )
         if checkpoints:
-            self.take(now, *(Applied(session.gateway, checkpoint, elapsed) for checkpoint in checkpoints))
+            self.process_batch(
+                now, *(Applied(session.gateway, checkpoint, elapsed) for checkpoint in checkpoints)
+            )
 
     def line_counts(self) -> tuple[int, int]:
         """The lines ordered but not sent, and those sent but not acknowledged, summed over all gateways."""
@@ -467,24 +470,24 @@
     def now(self) -> int:
         return self._now
 
-    def set_weight(self, tbl: int, worker: Worker, weight: float) -> None:
+    def set_weight(self, table_number: int, worker: Worker, weight: float) -> None:
         assert isinstance(worker, Server)
-        table = self._table(tbl)
+        table = self._table(table_number)
         table.set_weight(worker, weight)
         self._changed_tables[table] = None
         self._mark_table_pending(table)
 
-    def clear_table(self, tbl: int) -> None:
-        table = self._table(tbl)
+    def clear_table(self, table_number: int) -> None:
+        table = self._table(table_number)
         for server in list(table.lines):
             table.set_weight(server, 0.0)
         table.gates.clear()
         self._changed_tables[table] = None
         self._mark_table_pending(table)
 
-    def bind(self, proxy: Proxy, tbl: int, products: Sequence[Product]) -> None:
+    def bind(self, proxy: Proxy, table_number: int, products: Sequence[Product]) -> None:
         assert isinstance(proxy, Gateway)
-        session, table = self.sessions.get(proxy), self._table(tbl)
+        session, table = self.sessions.get(proxy), self._table(table_number)
         if session is None:
             return
         self._touched_sessions[session] = None
@@ -498,17 +501,17 @@
         self._changed_tables[table] = None
         session.gates_pending = True
 
-    def set_withdrawn(self, worker: Worker, out: bool) -> None:
+    def set_withdrawn(self, worker: Worker, withdrawn: bool) -> None:
         assert isinstance(worker, Server)
-        if out:
+        if withdrawn:
             self.withdrawn[worker] = None
         else:
             self.withdrawn.pop(worker, None)
         self._update_guard_server(worker)
         for table in self._tables.values():
             if worker in table.lines:
-                self._mark_table_pending(table, urgent=out)
-        for session in self.sessions.values() if out else ():
+                self._mark_table_pending(table, urgent=withdrawn)
+        for session in self.sessions.values() if withdrawn else ():
             for product in session.tables:  # lines left by an earlier holder that are no longer in its table
                 if (product.name, worker.name) in session.held.lines:
                     self._touched_sessions[session] = None
@@ -517,8 +520,10 @@
     def clear_stale_withdrawals(self, proxy: Proxy, workers: Sequence[Worker]) -> None:
         """Does nothing: withdrawals left at a gateway are found when its content is read back."""
 
-    def set_level(self, tbl: int | None, products: Sequence[Product], level: float, retry: Retry) -> None:
-        for table in self._tables.values() if tbl is None else (self._table(tbl),):
+    def set_level(
+        self, table_number: int | None, products: Sequence[Product], level: float, retry: Retry
+    ) -> None:
+        for table in self._tables.values() if table_number is None else (self._table(table_number),):
             for product in products or self.products:
                 zone = next(iter(table.sessions)).gateway.zone if table.sessions else ""
                 if (
@@ -533,9 +538,9 @@
                 session.gates_pending = True
                 session.pending_lines += 1
 
-    def checkpoint(self, number: int, everyone: bool) -> None:
-        for session in self.sessions.values() if everyone else self._touched_sessions:
-            session.checkpoints.append(number)
+    def checkpoint(self, mark: int, all_proxies: bool) -> None:
+        for session in self.sessions.values() if all_proxies else self._touched_sessions:
+            session.checkpoints.append(mark)
 
     def probe(self, worker: Worker) -> None:
         assert isinstance(worker, Server)
@@ -544,7 +549,7 @@
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         self.peer_messages.append(data)
 
-    def watch_list(self, on: bool) -> None:
+    def watch_list(self, enabled: bool) -> None:
         """Does nothing: changes of the list are always reported at once."""
 
     def request_list(self) -> None:
@@ -553,6 +558,6 @@
     def wake(self, after: int, token: int) -> None:
         self._reminders.add(self._now + max(1, after), token)
 
-    def log(self, words: str) -> None:
-        self.log_lines.append(words)
+    def log(self, text: str) -> None:
+        self.log_lines.append(text)
         del self.log_lines[:-100]
--- a/rushladder/guard/waves.py
+++ b/rushladder/guard/waves.py
@@ -27,12 +27,12 @@
 
 
 class Stage(Enum):
-    """How far a wave has come. The names are printed by `show wave`."""
+    """How far a wave has come. `show wave` prints the names; refusals and the log have the values."""
 
     FIRST = "first wave"
     MORE = "second wave"
     ALL = "all gateways"
-    HELD = "held: undecided"
+    HELD = "held: not sure"
     DONE = "done"
     UNDONE = "taken back"
 
--- a/tests/fake_host.py
+++ b/tests/fake_host.py
@@ -66,9 +66,9 @@
             "channel": Channel(1500.0, pending, 3.0, cap, 10 * SECOND, 2000, 5000),
             "guarantee": Guarantee(80_000, 40_000, 150_000, 0.2, 3.0, 20_000, 100_000, False),
             "level_unit": LevelUnit.RATIO,
-            "asks_list": False,
+            "watches_list": False,
             "may_probe": True,
-            "may_tell": False,
+            "may_send_to_peers": False,
             "slices": 0,
         }
         self.manager_args = settings | overrides
@@ -126,10 +126,12 @@
     ) -> Sequence[tuple[Any, ...]]:
         return [order[1:] for order in (self.orders if orders is None else orders) if order[0] == name]
 
-    def table_weights(self, tbl: int) -> dict[Worker, float]:
+    def table_weights(self, table_number: int) -> dict[Worker, float]:
         """The lines of a table as its proxies hold them."""
         lines = {
-            worker: weight for number, worker, weight in self.orders_named("set_weight") if number == tbl
+            worker: weight
+            for number, worker, weight in self.orders_named("set_weight")
+            if number == table_number
         }
         return {worker: weight for worker, weight in lines.items() if weight}
 
