--- a/rushladder/gateways/driver.py
+++ b/rushladder/gateways/driver.py
@@ -266,7 +266,9 @@
             parse_command(f"show map {RETRIES_MAP}"),
         )
         if "# " not in answers[0]:
-            raise UnexpectedAnswer(f"no table of servers: {answers[0][:80]!r}")
+            raise UnexpectedAnswer(
+                f"no server table in the answer to show servers state: {answers[0][:80]!r}"
+            )
         return GatewayContent(
             read_lines(answers[0]), {LEVELS_MAP: read_map(answers[1]), RETRIES_MAP: read_map(answers[2])}
         )
@@ -284,7 +286,7 @@
         info_fields = parse_fields(info)
         uptime = info_fields.get("Uptime_sec", "")
         if not uptime.isdigit():
-            raise UnexpectedAnswer(f"no uptime in: {info[:80]!r}")
+            raise UnexpectedAnswer(f"no Uptime_sec in the answer to show info: {info[:80]!r}")
         deltas, span = self._meter.poll(
             stat,
             ProcessIdentity(info_fields.get("Pid", ""), asked_at - int(uptime) * TENTHS_PER_SECOND),
@@ -396,7 +398,7 @@
             answer = (await client.send(parse_command(f"prepare map {name}")))[0]
             match = re.search(r"New version created: (\d+)", answer)
             if match is None:
-                return [answer or f"prepare map {name}: no version"]
+                return [answer or f"prepare map {name}: no version in the answer"]
             versions[name] = match[1]
         for name, entries in message.maps.items():
             commands += map_commands(name, versions[name], entries)
--- a/rushladder/peers/link.py
+++ b/rushladder/peers/link.py
@@ -41,14 +41,14 @@
         ).SerializeToString()
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._report_error(
-                f"a word of {len(datagram)} bytes was not sent; {MAX_DATAGRAM_BYTES} are allowed"
+                f"a message of {len(datagram)} bytes was not sent; at most {MAX_DATAGRAM_BYTES} are allowed"
             )
         transport: Any = self.transport
         for peer in self._peers.values() if transport is not None else ():
             try:
                 transport.write(datagram, (peer.address.host, peer.address.port))
             except OSError as error:
-                self._report_error(f"no word to {peer.name}: {error}")
+                self._report_error(f"a message to peer {peer.name} was not sent: {error}")
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         message = Word()
@@ -60,12 +60,12 @@
             message.mark = 0
         if message.mark != MAGIC:
             self.inbox.counts[Verdict.FOREIGN] += 1
-            return self._report_error("a foreign datagram at the peers' address")
+            return self._report_error("a foreign datagram was received at the address for peers")
         verdict = self.inbox.accept(message.manager, message.boot, message.number, clock_tenths(self._clock))
         if verdict is Verdict.NEW:
             self._received(self._peers[message.manager].number, message.data)
         elif verdict is Verdict.FOREIGN:
-            self._report_error("a word of a manager that is no peer")
+            self._report_error("a message was received from a manager that is not a configured peer")
 
     def connectionRefused(self) -> None:
         """Does nothing: the peer is down, and its messages are treated as lost."""
