--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -17,7 +17,7 @@
 
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
-from rushladder.trials.crashes import explore, rot
+from rushladder.trials.crashes import explore_crash_points, flip_bits
 
 CHILD = """
 import sys
@@ -47,10 +47,10 @@
     """Prints how many points and kills were tried; fails at the first that is wrong."""
     tried = opened = 0
     for seed in range(100, 100 + seeds):
-        some = explore(turns, seed, every)
+        some = explore_crash_points(turns, seed, every)
         tried, opened = tried + some[0], opened + some[1]
     print(f"{tried} crash points, {opened} openings, none wrong")
-    many, noticed = rot(turns, 7, 50 * seeds)
+    many, noticed = flip_bits(turns, 7, 50 * seeds)
     print(f"{many} turned bits, {noticed} noticed or in files not read, none trusted")
     with tempfile.TemporaryDirectory() as folder:
         torn, halves = killed(folder, kills)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,7 +26,7 @@
 from rushladder.runtime.grammar import Command
 from rushladder.service.manager import Manager
 from rushladder.service.run import dial
-from rushladder.standins.gateway import GatewayState
+from rushladder.standins.gateway_state import GatewayState
 from rushladder.timing import clock_tenths
 
 reactor: Any = _reactor
@@ -43,16 +43,16 @@
             for j in range(min(5, servers)):
                 state.add(product, f"c{(k + j) % servers}", f"127.0.0.1:{10_000 + (k + j) % servers}")
         states.append(state)
-        reactor.listenUNIX(f"{folder}/g{k}", RuntimeFactory(state.verbs, Level.ADMIN, reactor))
+        reactor.listenUNIX(f"{folder}/g{k}", RuntimeFactory(state.commands, Level.ADMIN, reactor))
 
     def second() -> None:
         for state in states:
             for product in PRODUCTS:
                 for _ in range(A_SECOND):
-                    line = state.pick(product) if state.lets_in(product) else None
+                    line = state.pick(product) if state.admits(product) else None
                     if line is not None:
                         turn = int(reactor.seconds()) // 6 + int(line.name[1:])
-                        line.settle(1.5 if moving and turn % 2 else 0.2)
+                        line.record_settled(1.5 if moving and turn % 2 else 0.2)
         reactor.callLater(1.0, second)
 
     second()
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from rushladder.standins.folder import Folder
+from rushladder.standins.simulated_folder import SimulatedFolder
 from rushladder.store.log import Log
 from rushladder.store.memory import DAY, MINORS, Kind
 from rushladder.store.store_pb2 import ServerMemory
@@ -24,7 +24,7 @@
 
 def mislead(world: Remembered) -> None:
     """Of a day ago, the slow server fast and the others slow."""
-    folder, at = Folder(), int(1000 * world.wall()) - DAY
+    folder, at = SimulatedFolder(), int(1000 * world.wall()) - DAY
     log = Log(folder, world.fleet, "m0", MINORS, wall=lambda: at)
     log.open()
     for k in range(SERVERS):
@@ -46,7 +46,7 @@
         world.kill("m0")
         world.run(1, 20)
         if how == "none":
-            world.folders["m0"] = Folder()
+            world.folders["m0"] = SimulatedFolder()
         elif how != "kept":
             mislead(world)
         # The gateways lost their tables too: nothing is left of what was learned but the memory.
--- a/benchmarks/skew.py
+++ b/benchmarks/skew.py
@@ -16,13 +16,13 @@
 from matplotlib import pyplot
 
 from rushladder.trials.day import read_day
-from rushladder.trials.judge import dns_error, load
+from rushladder.trials.judge import dns_error, load_records
 
 NAMED = (1, 2, 4)  # servers of an answer; the two ways of each are played at once
 
 
 def error(folder: Path) -> float:
-    rows = load(folder)
+    rows = load_records(folder)
     begins, ends = (
         next(r["t"] for r in rows if r["ev"] == "day" and r["what"] == w) for w in ("begins", "ends")
     )
--- a/rushladder/cli/main.py
+++ b/rushladder/cli/main.py
@@ -119,7 +119,7 @@
 def trial(file: str, report: str | None, keep: str | None, memory: str | None, compare: bool) -> None:
     """Plays the day in FILE with real managers and stand-ins on loopback, and judges it. Leaves with 1 if
     a rule broke."""
-    from rushladder.trials import day as days, judge, play
+    from rushladder.trials import day as days, judge, runner
 
     if report:
         draw = chart_maker()  # before the day is played: a missing package is told at once
@@ -138,8 +138,8 @@
     for steered in (True, False) if compare else (True,):
         with tempfile.TemporaryDirectory(prefix="rl") as made:
             folder = Path(made)
-            play.Trial(day, folder, steered).play()
-            rows = judge.load(folder)
+            runner.TrialRunner(day, folder, steered).run()
+            rows = judge.load_records(folder)
             verdicts.append(judge.judge(day, rows))
             if keep and steered:
                 shutil.copytree(
@@ -150,14 +150,14 @@
         f"{len(day.collectors)} collectors, {day.load:g} txns/s"
     )
     click.echo(verdicts[0].text())
-    for line in verdicts[0].steering():
+    for line in verdicts[0].weight_history():
         click.echo(line)
     if compare:
         click.echo(f"on standing tables: service {verdicts[1].service:.3f}")
     if report:
         for path in draw(day, verdicts[0], Path(report), verdicts[1] if compare else None):
             click.echo(str(path))
-    sys.exit(1 if verdicts[0].breaks else 0)
+    sys.exit(1 if verdicts[0].violations else 0)
 
 
 @main.command()
@@ -168,12 +168,12 @@
 def soak(seeds: int, first: int, seconds: float, crowd: bool | None) -> None:
     """Plays seeded runs of the manager against the platform's stand-ins on loopback, with faults and signals.
     Leaves with 1 if an aim of the protocol was not kept; the seed plays it again."""
-    from rushladder.trials.soak import run as play
+    from rushladder.trials.soak import run_soak
 
     if seeds < 1 or seconds < 4:
         click.echo("rushladder soak: --seeds should be 1 or more, --seconds 4 or more", err=True)
         sys.exit(2)
-    broken = play(first, seeds, seconds, crowd, click.echo)
+    broken = run_soak(first, seeds, seconds, crowd, click.echo)
     click.echo(f"{seeds} seeds, {broken} broke an aim")
     sys.exit(1 if broken else 0)
 
--- a/rushladder/standins/__main__.py
+++ b/rushladder/standins/__main__.py
@@ -10,21 +10,21 @@
 
 from twisted.internet import reactor as _reactor
 
-from rushladder.standins import collector, front, load, resolvers
-from rushladder.standins.record import Record
+from rushladder.standins import collector, http_gateway, load_generator, resolvers
+from rushladder.standins.event_record import EventRecord
 
 reactor: Any = _reactor
 
 
 def main() -> None:
     what = json.loads(Path(sys.argv[1]).read_text())
-    record = Record(what["record"], what["who"])
+    record = EventRecord(what["record"], what["who"])
     if what["kind"] == "collectors":
         collector.serve(
-            [collector.Build(**build) for build in what["builds"]], reactor, record, what["control"]
+            [collector.CollectorConfig(**build) for build in what["builds"]], reactor, record, what["control"]
         )
     elif what["kind"] == "gateway":
-        front.serve(
+        http_gateway.serve(
             what["who"],
             what["port"],
             what["sockets"],
@@ -37,9 +37,9 @@
     elif what["kind"] == "resolvers":
         resolvers.serve(what, reactor, record)
     else:
-        load.serve(
-            load.Load(
-                [load.Ask(**ask) for ask in what["asks"]],
+        load_generator.serve(
+            load_generator.LoadGenerator(
+                [load_generator.RequestProfile(**ask) for ask in what["asks"]],
                 what["gateways"],
                 what["rate"],
                 what["seed"],
--- a/rushladder/standins/collector.py
+++ b/rushladder/standins/collector.py
@@ -20,14 +20,14 @@
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
 from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
-from rushladder.standins.record import Record
+from rushladder.standins.event_record import EventRecord
 
 
 RATED = 2.0  # s over which a collector counts what it gets: a score of txns
 
 
 @attrs.frozen
-class Build:
+class CollectorConfig:
     """What one collector is: where it answers, its cores and their speed, and how it starts (seconds)."""
 
     name: str
@@ -58,7 +58,7 @@
 class Collector(resource.Resource):
     isLeaf = True
 
-    def __init__(self, build: Build, reactor: Any, record: Record) -> None:
+    def __init__(self, build: CollectorConfig, reactor: Any, record: EventRecord) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self.build, self._reactor, self._record = build, reactor, record
         self._random = Random(build.port)
@@ -96,7 +96,7 @@
 
         site.buildProtocol = noted
         self._port = self._reactor.listenTCP(self.build.port, site, interface="127.0.0.1", backlog=200)
-        self._record.note("start", name=self.build.name, warm=warm)
+        self._record.log_event("start", name=self.build.name, warm=warm)
         if self.build.reports:
             if self._wire is None:
                 self._wire = self._reactor.listenUDP(0, DatagramProtocol(), interface=self.build.address)
@@ -134,7 +134,7 @@
     def crash(self, why: str) -> None:
         if self._port is None:
             return
-        self._record.note(why, name=self.build.name)
+        self._record.log_event(why, name=self.build.name)
         self._port.stopListening()
         self._port = None
         self._life += 1
@@ -149,7 +149,7 @@
         self._slow = self._slow if slow is None else slow
         self._fails = self._fails if fails is None else fails
         self._hangs = self._hangs if hangs is None else hangs
-        self._record.note(
+        self._record.log_event(
             "trouble", name=self.build.name, slow=self._slow, fails=self._fails, hangs=self._hangs
         )
 
@@ -198,7 +198,7 @@
             if txn.until <= self._reactor.seconds():
                 continue
             self._busy += 1
-            self._record.note("run", name=self.build.name, id=txn.name, product=txn.product)
+            self._record.log_event("run", name=self.build.name, id=txn.name, product=txn.product)
             took = txn.work * self._slow / (self.build.speed * self.ramp())
             self._reactor.callLater(took, self._end, txn, self._life)
 
@@ -209,7 +209,7 @@
 
     def handshake(self, seconds: float) -> None:
         self._shakes = seconds
-        self._record.note("trouble", name=self.build.name, handshake=seconds)
+        self._record.log_event("trouble", name=self.build.name, handshake=seconds)
 
     def _end(self, txn: _Txn, life: int) -> None:
         if life != self._life:
@@ -248,7 +248,9 @@
     )
 
 
-def serve(builds: list[Build], reactor: Any, record: Record, control: str) -> dict[str, Collector]:
+def serve(
+    builds: list[CollectorConfig], reactor: Any, record: EventRecord, control: str
+) -> dict[str, Collector]:
     from rushladder.runtime.endpoint import RuntimeFactory
 
     collectors = {build.name: Collector(build, reactor, record) for build in builds}
--- a/rushladder/standins/record.py
+++ b/rushladder/standins/event_record.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 
-class Record:
+class EventRecord:
     """Appends to a file; a process that is killed loses at most the line it was writing."""
 
     def __init__(self, path: str, who: str) -> None:
         self._file, self._who = open(path, "a", buffering=1), who  # noqa: SIM115 - open as long as it lives
 
-    def note(self, event: str, **more: Any) -> None:
+    def log_event(self, event: str, **more: Any) -> None:
         row = {"t": round(time.monotonic(), 4), "who": self._who, "ev": event, **more}
         self._file.write(json.dumps(row, separators=(",", ":")) + "\n")
--- a/rushladder/standins/gateway.py
+++ b/rushladder/standins/gateway_state.py
@@ -41,16 +41,16 @@
     admin: str = "ready"
     settled: int = 0
     voided: int = 0
-    unreached: int = 0
+    connect_failures: int = 0
     mean: float = 0.0
-    held: int = 0  # txns in hand
-    voids_in_row: int = 0
-    away_until: float = 0.0
+    in_flight: int = 0  # txns in hand
+    consecutive_voids: int = 0
+    ejected_until: float = 0.0
 
-    def settle(self, seconds: float) -> None:
+    def record_settled(self, seconds: float) -> None:
         self.settled += 1
         self.mean += (1000 * seconds - self.mean) / min(self.settled, SAMPLES)
-        self.voids_in_row = 0
+        self.consecutive_voids = 0
 
 
 class GatewayState:
@@ -66,15 +66,15 @@
         self.clock, self.pid, self.started = clock, pid, clock()
         self._draw = draw or Random(1).random
         self.backends: dict[str, dict[str, Line]] = {product: {} for product in products}
-        self.came, self.declined = dict.fromkeys(products, 0), dict.fromkeys(products, 0)
+        self.received, self.declined = dict.fromkeys(products, 0), dict.fromkeys(products, 0)
         self.failed = dict.fromkeys(products, 0)
         self.maps: dict[str, dict[str, str]] = {"levels": {}, "retries": {}}
         self._versions = dict[tuple[str, str], dict[str, str]]()
         self._version = 0
         self.variables = dict[str, str]()
-        self.heard: Callable[[tuple[str, ...], str], None] = lambda words, answer: None
+        self.on_command: Callable[[tuple[str, ...], str], None] = lambda words, answer: None
         operator, admin = Level.OPERATOR, Level.ADMIN
-        self.verbs = CommandTable(
+        self.commands = CommandTable(
             [
                 self._verb(*row)
                 for row in (
@@ -105,7 +105,7 @@
                 answer = f"{refused}\n"
             except IndexError:
                 answer = f"'{words}' lacks an argument.\n"
-            self.heard(command.words, answer)
+            self.on_command(command.words, answer)
             return answer
 
         return CommandSpec(tuple(words.split()), level, words, noted)
@@ -115,8 +115,8 @@
     def add(self, backend: str, name: str, address: str, weight: int = 1) -> None:
         self.backends[backend][name] = Line(backend, name, address, weight)
 
-    def lets_in(self, product: str) -> bool:
-        self.came[product] += 1
+    def admits(self, product: str) -> bool:
+        self.received[product] += 1
         if self._draw() * 1000 < float(self.maps["levels"].get(product, "1000")):
             return True
         self.declined[product] += 1
@@ -129,7 +129,7 @@
             for line in self.backends[product].values()
             if line.weight and line.admin == "ready" and line not in but
         ]
-        near = [line for line in usable if line.away_until <= self.clock()] or usable
+        near = [line for line in usable if line.ejected_until <= self.clock()] or usable
         whole, place = sum(line.weight for line in near), 0.0
         place = self._draw() * whole
         for line in near:
@@ -165,13 +165,13 @@
                     "pxname": line.backend,
                     "svname": line.name,
                     "stot": line.settled + line.voided,
-                    "econ": line.unreached,
-                    "eresp": line.voided - line.unreached,
+                    "econ": line.connect_failures,
+                    "eresp": line.voided - line.connect_failures,
                     "status": "UP",
                     "type": 2,
                     "weight": line.weight,
                     "hrsp_2xx": line.settled,
-                    "scur": line.held,
+                    "scur": line.in_flight,
                     "hrsp_5xx": 0,
                     "ttime": round(line.mean),
                     "lastchg": int(self.clock() - self.started),
@@ -182,10 +182,10 @@
                 {
                     "pxname": product,
                     "svname": "BACKEND",
-                    "stot": self.came[product],
+                    "stot": self.received[product],
                     "type": 1,
                     "status": "UP",
-                    "req_tot": self.came[product],
+                    "req_tot": self.received[product],
                     "dreq": self.declined[product],
                     "eresp": self.failed[product],
                 }
@@ -233,7 +233,7 @@
 
     def _del_server(self, words: tuple[str, ...]) -> str:
         line = self._line(words[2])
-        if line.admin != "maint" or line.held:
+        if line.admin != "maint" or line.in_flight:
             raise CommandRefused(
                 "Only servers in maintenance mode can be deleted."
                 if line.admin != "maint"
@@ -293,7 +293,7 @@
     def _clear(self, words: tuple[str, ...]) -> str:
         for lines in self.backends.values():
             for line in lines.values():
-                line.settled = line.voided = line.unreached = 0
-        for sums in (self.came, self.declined, self.failed):
+                line.settled = line.voided = line.connect_failures = 0
+        for sums in (self.received, self.declined, self.failed):
             sums.update(dict.fromkeys(sums, 0))
         return ""
--- a/rushladder/standins/front.py
+++ b/rushladder/standins/http_gateway.py
@@ -14,18 +14,18 @@
 
 from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
-from rushladder.standins.gateway import GatewayState, Line
-from rushladder.standins.record import Record
+from rushladder.standins.gateway_state import GatewayState, Line
+from rushladder.standins.event_record import EventRecord
 
 AWAY_AFTER, AWAY_FOR = 5, 3.0  # voids in a row, and seconds away: as the brief's gateways do
 CONNECT_MOST = 0.3
 NEVER_RAN = (error.ConnectError,)  # no connection, so nothing was sent
 
 
-class Front(resource.Resource):
+class HttpGateway(resource.Resource):
     isLeaf = True
 
-    def __init__(self, state: GatewayState, reactor: Any, record: Record) -> None:
+    def __init__(self, state: GatewayState, reactor: Any, record: EventRecord) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
         self._state, self._reactor, self._record = state, reactor, record
         pool = client.HTTPConnectionPool(reactor)
@@ -37,7 +37,7 @@
     def render_GET(self, request: Any) -> Any:
         product, name = request.path.decode().strip("/").split("/")
         work, left = (float(request.args[key][0]) / 1000 for key in (b"work", b"left"))
-        if not self._state.lets_in(product):
+        if not self._state.admits(product):
             request.setResponseCode(429)
             request.setHeader(b"Retry-After", b"1")
             return b"declined, come back after a second\n"
@@ -56,7 +56,7 @@
         while not away and self._reactor.seconds() < until:
             line = self._state.pick(product, tried)
             if line is None:
-                self._record.note("no-line", product=product, id=name)
+                self._record.log_event("no-line", product=product, id=name)
                 break
             tried.append(line)
             code, ran = await self._try(
@@ -76,8 +76,8 @@
     ) -> tuple[int, bool]:
         """The answer's code, and whether the txn may have run."""
         began = self._reactor.seconds()
-        self._record.note("try", id=name, product=product, server=line.name, number=number)
-        line.held += 1
+        self._record.log_event("try", id=name, product=product, server=line.name, number=number)
+        line.in_flight += 1
         code, ran = 504, True
         try:
             if line.address in self.cut:
@@ -90,17 +90,17 @@
             code = response.code
         except NEVER_RAN:
             code, ran = 503, False
-            line.unreached += 1
+            line.connect_failures += 1
         except Exception:  # a broken connection, or no answer in time: it may have run
             code, ran = 502, True
-        line.held -= 1
+        line.in_flight -= 1
         if code < 400:
-            line.settle(self._reactor.seconds() - began)
+            line.record_settled(self._reactor.seconds() - began)
         else:
             line.voided += 1
-            line.voids_in_row += 1
-            if line.voids_in_row >= AWAY_AFTER:
-                line.away_until, line.voids_in_row = self._reactor.seconds() + AWAY_FOR, 0
+            line.consecutive_voids += 1
+            if line.consecutive_voids >= AWAY_AFTER:
+                line.ejected_until, line.consecutive_voids = self._reactor.seconds() + AWAY_FOR, 0
         return code, ran
 
 
@@ -115,7 +115,7 @@
     products: list[str],
     standing: Mapping[str, str],
     reactor: Any,
-    record: Record,
+    record: EventRecord,
 ) -> None:
     """One gateway: `standing` is the table it starts with, server to address; one runtime socket for each
     manager."""
@@ -126,10 +126,10 @@
 
     def heard(words: tuple[str, ...], answer: str) -> None:
         if words[0] not in QUIET:
-            record.note("cmd", words=words, answer=answer[:60])
+            record.log_event("cmd", words=words, answer=answer[:60])
 
-    state.heard = heard
-    front = Front(state, reactor, record)
+    state.on_command = heard
+    front = HttpGateway(state, reactor, record)
     make_site: Any = server.Site
     reactor.listenTCP(port, make_site(front), interface="127.0.0.1", backlog=200)
     ports = dict[str, Any]()
@@ -138,7 +138,7 @@
     def open_(path: str) -> None:
         if os.path.exists(path):
             os.unlink(path)
-        factory = RuntimeFactory(state.verbs, Level.ADMIN, reactor)
+        factory = RuntimeFactory(state.commands, Level.ADMIN, reactor)
         build, served[path] = factory.buildProtocol, []
 
         def noted(addr: Any) -> Any:
@@ -166,12 +166,12 @@
                 open_(path)
             elif command.words[1] != "open":
                 (close if command.words[1] == "close" else break_)(path)
-        record.note("streams", what=command.words[1])
+        record.log_event("streams", what=command.words[1])
         return ""
 
     def unreachable(command: Command, level: Level) -> str:
         front.cut = frozenset(command.words[1:])
-        record.note("cut", addresses=sorted(front.cut))
+        record.log_event("cut", addresses=sorted(front.cut))
         return ""
 
     for path in sockets:
@@ -189,4 +189,4 @@
             reactor,
         ),
     )
-    record.note("gateway", products=products, standing=dict(standing))
+    record.log_event("gateway", products=products, standing=dict(standing))
--- a/rushladder/standins/load.py
+++ b/rushladder/standins/load_generator.py
@@ -12,13 +12,13 @@
 
 from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
-from rushladder.standins.record import Record
+from rushladder.standins.event_record import EventRecord
 
 NOTICE = 1.6  # s for which the front layer goes on sending to a dead gateway: the least the brief names
 
 
 @attrs.frozen
-class Ask:
+class RequestProfile:
     """A product as clients ask for it: its part of all txns, work in seconds, expiry, and whether it may
     be repeated."""
 
@@ -29,17 +29,17 @@
     repeats: bool
 
 
-class Load:
+class LoadGenerator:
     """`gateways`: name and port. All randomness comes from one seed."""
 
     def __init__(
         self,
-        asks: Sequence[Ask],
+        asks: Sequence[RequestProfile],
         gateways: Sequence[tuple[str, int]],
         rate: float,
         seed: int,
         reactor: Any,
-        record: Record,
+        record: EventRecord,
     ) -> None:
         self._asks, self._gateways, self._rate = list(asks), list(gateways), rate
         self._random, self._reactor, self._record = Random(seed), reactor, record
@@ -74,10 +74,10 @@
         work = ask.work * self._random.uniform(0.8, 1.2) * (times if self._random.random() < part else 1.0)
         Deferred.fromCoroutine(self._txn(ask, f"{ask.name}-{self._number}", work))
 
-    async def _txn(self, ask: Ask, name: str, work: float) -> None:
+    async def _txn(self, ask: RequestProfile, name: str, work: float) -> None:
         began = self._reactor.seconds()
         until = began + ask.expiry * self.patience
-        self._record.note("ask", id=name, product=ask.name)
+        self._record.log_event("ask", id=name, product=ask.name)
         for turn in range(2):
             code = await self._once(ask, name, work, until)
             if code < 400 or turn or not (ask.repeats or code == 429):
@@ -88,11 +88,11 @@
             waited: Deferred[None] = Deferred()
             self._reactor.callLater(wait, waited.callback, None)
             await waited
-        self._record.note(
+        self._record.log_event(
             "told", id=name, product=ask.name, code=code, took=round(self._reactor.seconds() - began, 4)
         )
 
-    async def _once(self, ask: Ask, name: str, work: float, until: float) -> int:
+    async def _once(self, ask: RequestProfile, name: str, work: float, until: float) -> int:
         now = self._reactor.seconds()
         some = [one for one in self._gateways if not 0 < self._dead.get(one[0], 0) <= now - NOTICE]
         gateway, port = self._random.choice(some or self._gateways)
@@ -114,7 +114,7 @@
             return 599
 
 
-def verbs(load: Load) -> CommandTable:
+def verbs(load: LoadGenerator) -> CommandTable:
     def factor(command: Command, level: Level) -> str:
         for name in load.factor if command.words[1] == "all" else (command.words[1],):
             load.factor[name] = float(command.words[2])
@@ -147,6 +147,6 @@
     )
 
 
-def serve(load: Load, reactor: Any, control: str) -> None:
+def serve(load: LoadGenerator, reactor: Any, control: str) -> None:
     reactor.listenUNIX(control, RuntimeFactory(verbs(load), Level.ADMIN, reactor))
     load.start()
--- a/rushladder/standins/platform.py
+++ b/rushladder/standins/platform.py
@@ -10,7 +10,7 @@
 import attrs
 from twisted.internet import protocol
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 ALIVE_EVERY = 2.0  # s between empty lines of a watch
 PRODUCT = "ask"
 
@@ -91,8 +91,8 @@
 class Registry:
     """Discovery's list, the same behind each address. told: hears of entries as they are written."""
 
-    def __init__(self, clock: Any, told: Callable[[Mapping[str, Any]], None]) -> None:
-        self.clock, self.told = clock, told
+    def __init__(self, clock: Any, on_written: Callable[[Mapping[str, Any]], None]) -> None:
+        self.clock, self.on_written = clock, on_written
         self.version, self.entries = 41, dict[str, dict[str, Any]]()
         self.changes = list[tuple[int, dict[str, Any]]]()
         self.watches = dict[_Watched, None]()
@@ -165,11 +165,11 @@
         self._write((chunk(before) if before else b"") + chunk(line))
         self._index = registry.version
         for one in entries:
-            registry.told(one)
+            registry.on_written(one)
 
     def _write(self, data: bytes) -> None:
         transport: Any = self.transport
-        transport.write(data if self._headed else HEAD + data)
+        transport.write(data if self._headed else RESPONSE_HEAD + data)
         self._headed = True
 
     def close(self) -> None:
@@ -235,7 +235,7 @@
 
 
 @attrs.frozen
-class Order:
+class ConfigMessage:
     """One message of a manager to a proxy, its parts read."""
 
     rows: Mapping[str, float]
@@ -250,7 +250,7 @@
         return {*self.rows, *self.drop, *self.undrop}
 
 
-def read_order(lines: Sequence[str]) -> Order:
+def parse_config_message(lines: Sequence[str]) -> ConfigMessage:
     """The parts of one message for one product. Raises ValueError or KeyError for what a proxy can't use."""
     rows, drop, undrop = dict[str, float](), list[str](), list[str]()
     replace, mark = False, None
@@ -265,10 +265,10 @@
         drop += [name for name in said.get("drop", "").split(",") if name]
         undrop += [name for name in said.get("undrop", "").split(",") if name]
         mark = int(said["stamp"]) if "stamp" in said else mark
-    return Order(rows, replace, drop, undrop, mark, lines)
+    return ConfigMessage(rows, replace, drop, undrop, mark, lines)
 
 
-class Lines(protocol.Protocol):
+class LineConnection(protocol.Protocol):
     """A connection that reads lines. lost: told of its end."""
 
     def __init__(self) -> None:
@@ -296,7 +296,7 @@
             transport.abortConnection()
 
 
-class ProxyStream(Lines):
+class ProxyStream(LineConnection):
     """One stream of a proxy: joins, answers marks, and hands on what it is ordered."""
 
     def __init__(self, proxy: Proxy) -> None:
@@ -377,7 +377,7 @@
         if stream is not self.stream:
             return
         try:
-            order = read_order(parts)
+            order = parse_config_message(parts)
         except (ValueError, KeyError) as trouble:
             return self._heard("unreadable", self, f"{trouble} in {parts}")
         self.table = {
@@ -397,7 +397,7 @@
             self._again()
 
 
-class Stranger(Lines):
+class UnidentifiedClient(LineConnection):
     """Says something that is no joining. owed: hears in what time it was answered or closed."""
 
     def __init__(self, said: bytes, clock: Any, owed: Callable[[float], None]) -> None:
--- a/rushladder/standins/resolvers.py
+++ b/rushladder/standins/resolvers.py
@@ -18,8 +18,8 @@
 
 from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
-from rushladder.standins.load import Ask
-from rushladder.standins.record import Record
+from rushladder.standins.load_generator import RequestProfile
+from rushladder.standins.event_record import EventRecord
 
 PATIENCE = 0.3  # s for an answer before the next name server is asked
 TURNS = 4  # name servers asked for one question: each of two twice
@@ -47,7 +47,7 @@
         ignores: bool,
         random: Random,
         reactor: Any,
-        record: Record,
+        record: EventRecord,
     ) -> None:
         self.name, self._region, self._zone, self._fronts = name, region, zone, list(fronts)
         self.ignores, self._random, self._reactor, self._record = ignores, random, reactor, record
@@ -71,7 +71,7 @@
         if product not in self._asking:
             return
         if turn >= TURNS:
-            self._record.note("unanswered", resolver=self.name, product=product)
+            self._record.log_event("unanswered", resolver=self.name, product=product)
             for waiting in self._asking.pop(product):
                 waiting.callback(None)
             return
@@ -107,7 +107,7 @@
         ttl = min(r.ttl for r in message.answers)
         life = ttl * (10 if self.ignores else 1)
         kept = self._kept[product] = Kept(targets, self._reactor.seconds() + life, front)
-        self._record.note(
+        self._record.log_event(
             "answered", resolver=self.name, product=product, front=front, ttl=ttl, names=targets
         )
         for waiting in self._asking.pop(product):
@@ -119,13 +119,13 @@
 
     def __init__(
         self,
-        asks: Sequence[Ask],
+        asks: Sequence[RequestProfile],
         resolvers: Sequence[Resolver],
         zipf: float,
         rate: float,
         random: Random,
         reactor: Any,
-        record: Record,
+        record: EventRecord,
     ) -> None:
         self._asks, self._resolvers, self._rate = list(asks), list(resolvers), rate
         self._parts = [1.0 / (k + 1) ** zipf for k in range(len(resolvers))]
@@ -149,10 +149,10 @@
         work = ask.work * self._random.uniform(0.8, 1.2)
         Deferred.fromCoroutine(self._txn(ask, resolver, f"{resolver.name}-{ask.name}-{self._number}", work))
 
-    async def _txn(self, ask: Ask, resolver: Resolver, name: str, work: float) -> None:
+    async def _txn(self, ask: RequestProfile, resolver: Resolver, name: str, work: float) -> None:
         began = self._reactor.seconds()
         until = began + ask.expiry
-        self._record.note("ask", id=name, product=ask.name)
+        self._record.log_event("ask", id=name, product=ask.name)
         code, tried = 503, set[str]()
         # A client tries a second target only where the first may be repeated, and there is one.
         for turn in range(2 if ask.repeats else 1):
@@ -162,7 +162,7 @@
                 break
             server, _, address = self._random.choices(some, [max(1, one[1]) for one in some])[0]
             tried.add(server)
-            self._record.note(
+            self._record.log_event(
                 "try",
                 id=name,
                 product=ask.name,
@@ -177,9 +177,9 @@
             if code < 500:
                 break
         took = round(self._reactor.seconds() - began, 4)
-        self._record.note("told", id=name, product=ask.name, code=code, took=took)
+        self._record.log_event("told", id=name, product=ask.name, code=code, took=took)
 
-    async def _once(self, ask: Ask, name: str, work: float, address: str, until: float) -> int:
+    async def _once(self, ask: RequestProfile, name: str, work: float, address: str, until: float) -> int:
         left = until - self._reactor.seconds()
         url = f"http://{address}/{ask.name}/{name}?work={1000 * work:.1f}&left={1000 * left:.1f}"
         try:
@@ -192,7 +192,7 @@
             return 599
 
 
-def serve(what: dict[str, Any], reactor: Any, record: Record) -> None:
+def serve(what: dict[str, Any], reactor: Any, record: EventRecord) -> None:
     """what: asks, many, zipf, rate, seed, region, zone, fronts, ignore, first (of the addresses), control."""
     random = Random(what["seed"])
     resolvers = list[Resolver]()
@@ -210,7 +210,7 @@
         place = what["first"] + k
         reactor.listenUDP(0, resolver, interface=f"127.0.{2 + place // 250}.{1 + place % 250}")
         resolvers.append(resolver)
-    asks = [Ask(**ask) for ask in what["asks"]]
+    asks = [RequestProfile(**ask) for ask in what["asks"]]
     population = Population(asks, resolvers, what["zipf"], what["rate"], random, reactor, record)
 
     def stop(command: Command, level: Level) -> str:
--- a/rushladder/standins/folder.py
+++ b/rushladder/standins/simulated_folder.py
@@ -38,20 +38,20 @@
         self.synced, self.data = data, data
 
 
-class Folder:
+class SimulatedFolder:
     """In memory; as `store.files.Folder`. cut: the number of the change at which power goes (0: never).
     full: bytes that it takes in all (0: any number)."""
 
-    def __init__(self, cut: int = 0, full: int = 0) -> None:
+    def __init__(self, cut_at: int = 0, capacity: int = 0) -> None:
         self._files, self._survive = dict[str, _File](), dict[str, _File]()
         self._changes = list[tuple[str, str, _File | None]]()
-        self.changes, self.cut, self.full, self.read_only = 0, cut, full, False
+        self.changes, self.cut_at, self.capacity, self.read_only = 0, cut_at, capacity, False
 
     def _change(self) -> None:
         if self.read_only:
             raise OSError(errno.EROFS, "read-only")
         self.changes += 1
-        if self.changes == self.cut:
+        if self.changes == self.cut_at:
             raise PowerCut
 
     def names(self) -> list[str]:
@@ -61,7 +61,11 @@
         return self._files[name].data
 
     def append(self, name: str, data: bytes) -> None:
-        room = self.full - sum(len(file.data) for file in self._files.values()) if self.full else len(data)
+        room = (
+            self.capacity - sum(len(file.data) for file in self._files.values())
+            if self.capacity
+            else len(data)
+        )
         file = self._files.get(name)
         if file is None:
             file = self._files[name] = _File()
@@ -92,7 +96,7 @@
         self._survive = dict(self._files)
         self._changes.clear()
 
-    def after_power(self, tail: Tail, entries: Entries, random: Random) -> Folder:
+    def after_power_cut(self, tail: Tail, entries: Entries, random: Random) -> SimulatedFolder:
         """The folder as the next start finds it."""
         names = dict(self._survive)
         for what, name, file in self._changes:
@@ -101,13 +105,13 @@
                     names[name] = file
                 else:
                     names.pop(name, None)
-        found = Folder()
+        found = SimulatedFolder()
         for name, file in names.items():
             found._files[name] = _File(file.synced + left(file.data[len(file.synced) :], tail, random))
         found._survive = dict(found._files)
         return found
 
-    def rot(self, random: Random) -> str:
+    def flip_bit(self, random: Random) -> str:
         """Turns a bit of something that was synced long ago; returns the file's name."""
         name = random.choice([name for name, file in self._files.items() if file.data])
         file = self._files[name]
--- a/rushladder/trials/charts.py
+++ b/rushladder/trials/charts.py
@@ -32,7 +32,7 @@
                 plotted = True
         if title == "service" and other is not None:
             _line(axes, other.series["service"], "standing tables", day.length, False)
-        for happening in day.happenings:
+        for happening in day.events:
             axes.axvline(happening.at, color="0.8", linewidth=0.8, zorder=0)
         axes.set(
             xlabel="second of the day", ylabel=ylabel, title=f"{day.name}: {title}", xlim=(0, day.length)
--- a/rushladder/trials/day.py
+++ b/rushladder/trials/day.py
@@ -39,7 +39,7 @@
 REPORTS = {how: how for how in ("true", "idle", "stuck", "flood")}
 SECTIONS = ("day", "product", "manager", "gateway", "collector", "resolvers", "events")
 # Who -> what can happen to it -> how many arguments, and whether it ends by itself with `for`.
-HAPPENINGS: dict[str, dict[str, tuple[int, bool]]] = {
+EVENTS: dict[str, dict[str, tuple[int, bool]]] = {
     "load": {
         "times": (1, True),
         "heavy": (2, True),
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen
-class Asked:
+class ProductSpec:
     """A product: the manager's own directives as written, and how clients ask for it (seconds)."""
 
     name: str
@@ -108,7 +108,7 @@
 
 
 @attrs.frozen
-class Resolvers:
+class ResolverPopulation:
     """Resolvers of a region, the k-th of which brings a part like 1/k^zipf of the load; the last `ignore`
     of them keep answers ten times as long as they may."""
 
@@ -121,7 +121,7 @@
 
 
 @attrs.frozen
-class Happening:
+class Event:
     """At a second of the day, something happens to some of a kind, for some seconds or for good (0)."""
 
     at: float
@@ -140,12 +140,12 @@
     seed: int
     load: float
     plan: tuple[tuple[str, ...], ...]
-    products: tuple[Asked, ...]
+    products: tuple[ProductSpec, ...]
     managers: tuple[Site, ...]
     gateways: tuple[Site, ...]
     collectors: tuple[Site, ...]
-    happenings: tuple[Happening, ...]
-    resolvers: tuple[Resolvers, ...] = ()
+    events: tuple[Event, ...]
+    resolvers: tuple[ResolverPopulation, ...] = ()
     dns: tuple[tuple[str, ...], ...] = ()  # lines of every manager's dns section
     memory: str = "none"
 
@@ -193,9 +193,9 @@
         self._file, self._faults = file, faults
         self.facts: dict[str, str] = {}
         self.plan, self.dns = list[tuple[str, ...]](), list[tuple[str, ...]]()
-        self.resolvers = list[Resolvers]()
+        self.resolvers = list[ResolverPopulation]()
         self.sites: dict[str, list[Site]] = {"manager": [], "gateway": [], "collector": []}
-        self.products, self.happenings = list[Asked](), list[Happening]()
+        self.products, self.events = list[ProductSpec](), list[Event]()
 
     def fault(self, line: Line, what: str) -> None:
         self._faults.append(Diagnostic(self._file, line.number, what))
@@ -242,7 +242,7 @@
         said = {line.words[0]: line.words[1:] for line in lines}
         own = tuple(line.words for line in lines if line.words[0] not in ("share", "work"))
         self.products.append(
-            Asked(
+            ProductSpec(
                 name(title),
                 own,
                 percentage(said["share"][0]),
@@ -264,7 +264,7 @@
                     f"'{line.words[0]}' can't stand here; region, many, zipf, load and ignore are allowed",
                 )
         self.resolvers.append(
-            Resolvers(
+            ResolverPopulation(
                 name(title),
                 name(said["region"][0]),
                 integer(1, 500)(said["many"][0]),
@@ -302,15 +302,13 @@
             if words[0] != "at":
                 raise InvalidValue(f"'{words[0]}' opens no event; 'at TIME WHO NAMES WHAT' is allowed")
             at, who = duration(words[1]) / PER_S, words[2]
-            if who not in HAPPENINGS:
-                raise InvalidValue(f"'{who}' is unknown; {', '.join(HAPPENINGS)} are allowed")
+            if who not in EVENTS:
+                raise InvalidValue(f"'{who}' is unknown; {', '.join(EVENTS)} are allowed")
             names = tuple(words[3].split(",")) if who != "load" else ()
             rest = words[3:] if who == "load" else words[4:]
-            if not rest or rest[0] not in HAPPENINGS[who]:
-                raise InvalidValue(
-                    f"what happens is unknown; {', '.join(HAPPENINGS[who])} can happen to a {who}"
-                )
-            many, ends = HAPPENINGS[who][rest[0]]
+            if not rest or rest[0] not in EVENTS[who]:
+                raise InvalidValue(f"what happens is unknown; {', '.join(EVENTS[who])} can happen to a {who}")
+            many, ends = EVENTS[who][rest[0]]
             arguments, tail = tuple(rest[1 : 1 + many]), rest[1 + many :]
             if len(arguments) < many or (tail and (not ends or tail[0] != "for" or len(tail) != 2)):
                 raise InvalidValue(
@@ -323,7 +321,7 @@
             return self.fault(
                 line, "the event is cut off; 'at TIME WHO NAMES WHAT ... [for TIME]' is allowed"
             )
-        self.happenings.append(Happening(at, who, names, rest[0], arguments, lasts, line.number))
+        self.events.append(Event(at, who, names, rest[0], arguments, lasts, line.number))
 
     def day(self) -> Day:
         return Day(
@@ -336,7 +334,7 @@
             tuple(self.sites["manager"]),
             tuple(self.sites["gateway"]),
             tuple(self.sites["collector"]),
-            tuple(sorted(self.happenings, key=lambda one: one.at)),
+            tuple(sorted(self.events, key=lambda one: one.at)),
             tuple(self.resolvers),
             tuple(self.dns),
             self.facts.get("memory", "none"),
--- a/rushladder/trials/judge.py
+++ b/rushladder/trials/judge.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Break:
+class Violation:
     """A broken rule: which, when (second of the day), where, and the record behind it."""
 
     rule: int
@@ -34,7 +34,7 @@
 
 @attrs.define
 class Verdict:
-    breaks: list[Break]
+    violations: list[Violation]
     service: float
     by_product: dict[str, float]
     declined: float
@@ -53,7 +53,7 @@
             5: "channel and message cap kept",
         }
         for rule, title in names.items():
-            found = [one for one in self.breaks if one.rule == rule]
+            found = [one for one in self.violations if one.rule == rule]
             lines.append(f"rule {rule} {'BROKEN' if found else 'kept  '} {title}")
             lines += [f"    {one}" for one in found[:5]]
         by = ", ".join(f"{name} {share:.3f}" for name, share in self.by_product.items())
@@ -65,7 +65,7 @@
             lines.append(f"load of DNS clients off its weights by {self.dns_error:.1%}")
         return "\n".join(lines)
 
-    def steering(self) -> list[str]:
+    def weight_history(self) -> list[str]:
         """How the first gateway's weights for the first product went, as a line for each collector."""
         lines, first = list[str](), ""
         for name, points in sorted(self.series.items()):
@@ -78,7 +78,7 @@
         return lines
 
 
-def load(folder: Path) -> list[dict[str, Any]]:
+def load_records(folder: Path) -> list[dict[str, Any]]:
     """All records of a folder in the order of their time; a last line that was cut off is left out."""
     rows = list[dict[str, Any]]()
     for file in sorted(folder.glob("*.jsonl")):
@@ -139,7 +139,7 @@
     ends = next((row["t"] for row in rows if row["ev"] == "day" and row["what"] == "ends"), None)
     if begins is None or ends is None:
         raise ValueError("the records hold no whole day")
-    breaks = [
+    violations = [
         *_bare(day, rows, begins, ends),
         *_twice(day, rows, begins),
         *_drains(day, rows, begins),
@@ -149,11 +149,11 @@
         *_messages(day, rows, begins),
     ]
     verdict = _service(day, rows, begins, ends)
-    verdict.breaks = sorted(breaks, key=lambda one: (one.rule, one.at))
+    verdict.violations = sorted(violations, key=lambda one: (one.rule, one.at))
     return verdict
 
 
-def _bare(day: Day, rows: list[dict[str, Any]], begins: float, ends: float) -> Iterable[Break]:
+def _bare(day: Day, rows: list[dict[str, Any]], begins: float, ends: float) -> Iterable[Violation]:
     """Rule 1: how long each gateway's pool of a product was empty while some warm collector was listed
     ready."""
     limit, cold = seconds(day.figure("bare", otherwise="8s")), seconds(day.figure("cold", otherwise="15s"))
@@ -179,7 +179,7 @@
             for name in names:
                 began = since.get((gateway, name))
                 if began is not None and row["t"] - max(began, begins) > limit and row["t"] > begins:
-                    yield Break(
+                    yield Violation(
                         1, began - begins, gateway, f"no line for {name} for {row['t'] - began:.1f} s"
                     )
                     since.pop((gateway, name))
@@ -189,18 +189,20 @@
                     since.setdefault((gateway, name), row["t"])
 
 
-def _twice(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Break]:
+def _twice(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 2: no once-only txn runs at two collectors, nor twice at one."""
     once = {product.name for product in day.products if product.repeat == "once-only"}
     ran = dict[str, str]()
     for row in rows:
         if row["ev"] == "run" and row["product"] in once:
             if row["id"] in ran:
-                yield Break(2, row["t"] - begins, row["name"], f"{row['id']} ran at {ran[row['id']]} before")
+                yield Violation(
+                    2, row["t"] - begins, row["name"], f"{row['id']} ran at {ran[row['id']]} before"
+                )
             ran[row["id"]] = row["name"]
 
 
-def _drains(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Break]:
+def _drains(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 3: no try to a collector later than the grace after the gateway's manager was told of its drain.
 
     The time runs from the later of the telling and the moment that a manager has the gateway; a gateway
@@ -230,7 +232,7 @@
             late = row["t"] - max(when, since) if when is not None else 0.0
             if late > grace and (row["who"], row["server"]) not in told:
                 told.add((row["who"], row["server"]))
-                yield Break(
+                yield Violation(
                     3,
                     row["t"] - begins,
                     row["who"],
@@ -247,7 +249,7 @@
         out.setdefault(key, row["t"])
 
 
-def _kept_answers(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Break]:
+def _kept_answers(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 3 by DNS: no try to a collector later than the grace after the manager that named it was told of
     its drain. Resolvers that keep answers beyond their life are bound by nobody."""
     grace = seconds(day.figure("grace", otherwise="4s"))
@@ -259,7 +261,7 @@
             when = out.get((row["front"], row["server"]))
             if when is not None and row["t"] - when > grace and (row["resolver"], row["server"]) not in told:
                 told.add((row["resolver"], row["server"]))
-                yield Break(
+                yield Violation(
                     3,
                     row["t"] - begins,
                     row["resolver"],
@@ -267,7 +269,7 @@
                 )
 
 
-def _unanswered(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Break]:
+def _unanswered(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 1 by DNS: no resolver is left without a name for longer than `bare`, from its first answer on."""
     limit = seconds(day.figure("bare", otherwise="8s"))
     since = dict[tuple[str, str], float]()
@@ -280,7 +282,7 @@
         elif key in since:
             since[key] = since[key] or row["t"]
             if row["t"] - max(begins, since[key]) > limit:
-                yield Break(
+                yield Violation(
                     1,
                     since[key] - begins,
                     key[0],
@@ -321,14 +323,14 @@
     return off / whole if whole else 0.0
 
 
-def _fallen(rows: list[dict[str, Any]], begins: float) -> Iterable[Break]:
+def _fallen(rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 4: no cold collector fell over."""
     for row in rows:
         if row["ev"] == "fell":
-            yield Break(4, row["t"] - begins, row["name"], "fell over while cold")
+            yield Violation(4, row["t"] - begins, row["name"], "fell over while cold")
 
 
-def _messages(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Break]:
+def _messages(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 5: messages to one gateway within the span, and lines of one message, as they came out of the
     sockets."""
     cap, most = (
@@ -349,11 +351,11 @@
         while sent[0] < row["t"] - span:
             sent.pop(0)
         if cap and len(sent) > cap:
-            yield Break(
+            yield Violation(
                 5, row["t"] - begins, row["who"], f"{len(sent)} messages of {manager} within {span:g} s"
             )
         if lines[row["who"]] > most:
-            yield Break(5, row["t"] - begins, row["who"], f"a message of {lines[row['who']]} lines")
+            yield Violation(5, row["t"] - begins, row["who"], f"a message of {lines[row['who']]} lines")
         lines[row["who"]] = 0
 
 
--- a/rushladder/trials/play.py
+++ b/rushladder/trials/runner.py
@@ -17,12 +17,12 @@
 from rushladder.conf.grammar import Address
 from rushladder.runtime.client import send_commands
 from rushladder.runtime.grammar import Command, parse_fields, split_commands
-from rushladder.standins.record import Record
+from rushladder.standins.event_record import EventRecord
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
 from rushladder.store.memory import MINORS, Kind, fleet_id
 from rushladder.store.store_pb2 import DemandMemory, ServerMemory
-from rushladder.trials.day import Day, Happening, Site, seconds
+from rushladder.trials.day import Day, Event, Site, seconds
 
 ZONE = "trial.test"
 SETTLE = 5.0  # s before the day begins: managers have taken their gateways, connections are open
@@ -40,14 +40,14 @@
     return ports
 
 
-class Trial:
+class TrialRunner:
     """One day in one folder. `steered`: whether managers run, or the standing tables are left as they are."""
 
     def __init__(self, day: Day, folder: Path, steered: bool = True) -> None:
         self.day, self.folder, self._steered = day, folder, steered
         self._processes = dict[str, subprocess.Popen[bytes]]()
         self._commands = dict[str, list[str]]()
-        self._record = Record(str(folder / "trial.jsonl"), "trial")
+        self._record = EventRecord(str(folder / "trial.jsonl"), "trial")
         ports = iter(free_ports(len(day.collectors) + len(day.gateways) + len(day.managers)))
         self._port = {site.name: next(ports) for site in (*day.collectors, *day.gateways, *day.managers)}
         self._dns = dict(zip((m.name for m in day.managers), free_ports(len(day.managers)), strict=True))
@@ -249,7 +249,7 @@
                 cells = line.split(",")
                 if len(cells) >= 7 and cells[0] in {product.name for product in self.day.products}:
                     rows.append(cells)
-        self._record.note("split", manager=manager, rows=rows)
+        self._record.log_event("split", manager=manager, rows=rows)
 
     def _stand_in(self, name: str, what: dict[str, object]) -> None:
         file = self.folder / f"{name}.json"
@@ -273,7 +273,7 @@
                 self._commands[name], stdin=subprocess.DEVNULL, stdout=log, stderr=log
             )
         self._still.discard(name)
-        self._record.note("process", name=name, what="start")
+        self._record.log_event("process", name=name, what="start")
 
     def _signal(self, name: str, number: signal.Signals) -> None:
         process = self._processes[name]
@@ -282,7 +282,7 @@
             if number is signal.SIGKILL:
                 process.wait()
             (self._still.discard if number is signal.SIGCONT else self._still.add)(name)
-            self._record.note("process", name=name, what=number.name)
+            self._record.log_event("process", name=name, what=number.name)
 
     def _sample(self) -> None:
         """What waits in each manager's channels, by its own word; for the charts, never for a verdict."""
@@ -293,7 +293,7 @@
                 facts = parse_fields(answers[0]) if answers else {}
                 if "LinesOwed" in facts:
                     waits = int(facts["LinesOwed"]) + int(facts["LinesSent"])
-                    self._record.note("waits", manager=manager.name, lines=waits)
+                    self._record.log_event("waits", manager=manager.name, lines=waits)
                 if self.day.resolvers:
                     self._split(manager.name)
 
@@ -302,7 +302,7 @@
         try:
             return send_commands(Address(path=self._path(control)), commands, patience)
         except OSError as trouble:
-            self._record.note("untold", control=control, text=text, why=str(trouble))
+            self._record.log_event("untold", control=control, text=text, why=str(trouble))
             return []
 
     def _list(self, name: str, text: str, state: str = "") -> None:
@@ -318,7 +318,7 @@
             return
         answers = self._tell(manager + ".sock", text)
         if answers:
-            self._record.note("listed", manager=manager, name=name, state=state, answer=answers[0][:60])
+            self._record.log_event("listed", manager=manager, name=name, state=state, answer=answers[0][:60])
         elif turn < 40:
             self._later(0.3, lambda: self._list_one(manager, name, text, state, turn + 1))
 
@@ -330,7 +330,7 @@
 
     # What happens.
 
-    def _happen(self, one: Happening) -> None:
+    def _happen(self, one: Event) -> None:
         names = one.names or ("",)
         for name in names:
             begin, end = getattr(self, f"_{one.who}")(name, one.what, one.arguments, one)
@@ -339,7 +339,7 @@
                 self._at(one.at + one.lasts, end)
 
     def _load(
-        self, _: str, what: str, words: tuple[str, ...], one: Happening
+        self, _: str, what: str, words: tuple[str, ...], one: Event
     ) -> tuple[Callable[[], None], Callable[[], None] | None]:
         back = {"times": "factor all 1", "heavy": "heavy 0 1", "patience": "patience 1", "hot": "hot - 0"}
         text = {
@@ -356,16 +356,16 @@
 
     def _clients(self, text: str) -> None:
         self._tell("clients.ctl", text)
-        self._record.note("happens", what=text)
+        self._record.log_event("happens", what=text)
 
     def _collector(
-        self, name: str, what: str, words: tuple[str, ...], one: Happening
+        self, name: str, what: str, words: tuple[str, ...], one: Event
     ) -> tuple[Callable[[], None], Callable[[], None] | None]:
         site = next(s for s in self.day.collectors if s.name == name)
 
         def tell(text: str) -> Callable[[], None]:
             def go() -> None:
-                self._record.note("happens", what=text)
+                self._record.log_event("happens", what=text)
                 self._tell("collectors.ctl", text)
 
             return go
@@ -428,12 +428,12 @@
         return (lambda: self._signal(name, signal.SIGSTOP)), lambda: self._signal(name, signal.SIGCONT)
 
     def _manager(
-        self, name: str, what: str, words: tuple[str, ...], one: Happening
+        self, name: str, what: str, words: tuple[str, ...], one: Event
     ) -> tuple[Callable[[], None], Callable[[], None] | None]:
         return self._process(name, what) if self._steered else ((lambda: None), None)
 
     def _gateway(
-        self, name: str, what: str, words: tuple[str, ...], one: Happening
+        self, name: str, what: str, words: tuple[str, ...], one: Event
     ) -> tuple[Callable[[], None], Callable[[], None] | None]:
         if what in ("kill", "stall"):
             return self._process(name, what)
@@ -445,7 +445,7 @@
         return (lambda: self._stream(name, "close")), lambda: self._stream(name, "open")
 
     def _wire(self, gateway: str, text: str) -> None:
-        self._record.note("happens", what=f"{gateway} {text}")
+        self._record.log_event("happens", what=f"{gateway} {text}")
         self._tell(gateway + ".ctl", text)
 
     def _stream(self, gateway: str, what: str, managers: tuple[str, ...] = ()) -> None:
@@ -453,17 +453,19 @@
         self._tell(gateway + ".ctl", f"streams {what} {paths}".strip())
 
     def _operator(
-        self, name: str, what: str, words: tuple[str, ...], one: Happening
+        self, name: str, what: str, words: tuple[str, ...], one: Event
     ) -> tuple[Callable[[], None], Callable[[], None] | None]:
         def say() -> None:
             if self._steered:
                 answers = self._tell(name + ".sock", words[0])
-                self._record.note("said", manager=name, text=words[0], answers=[a[:200] for a in answers])
+                self._record.log_event(
+                    "said", manager=name, text=words[0], answers=[a[:200] for a in answers]
+                )
 
         return say, None
 
     def _region(
-        self, name: str, what: str, words: tuple[str, ...], one: Happening
+        self, name: str, what: str, words: tuple[str, ...], one: Event
     ) -> tuple[Callable[[], None], Callable[[], None] | None]:
         def cut(on: bool) -> Callable[[], None]:
             def go() -> None:
@@ -490,7 +492,7 @@
 
     # The whole.
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Runs the day from start to end; whatever it started has ended when it returns."""
         self._describe()
         traffic = [
@@ -505,8 +507,8 @@
                 self._start(name)
             time.sleep(SETTLE)
             self._zero = time.monotonic()
-            self._record.note("day", what="begins")
-            for happening in self.day.happenings:
+            self._record.log_event("day", what="begins")
+            for happening in self.day.events:
                 self._happen(happening)
             self._sample()
             while (now := time.monotonic() - self._zero) < self.day.length:
@@ -515,7 +517,7 @@
                 for _, _, what in due:
                     what()
                 time.sleep(0.005)
-            self._record.note("day", what="ends")
+            self._record.log_event("day", what="ends")
             for name in traffic:
                 self._tell(name + ".ctl", "stop")
             time.sleep(CLOSING)
--- a/rushladder/trials/soak.py
+++ b/rushladder/trials/soak.py
@@ -21,17 +21,17 @@
 
 from rushladder.standins.platform import (
     Discovery,
-    Lines,
-    Order,
+    LineConnection,
+    ConfigMessage,
     ProbePort,
     Proxy,
     ProxyStream,
     Registry,
-    Stranger,
+    UnidentifiedClient,
     configuration,
     entry,
 )
-from rushladder.trials.soak_judge import Break, SoakJudge
+from rushladder.trials.soak_judge import Violation, SoakJudge
 
 ROOT = Path(__file__).parent.parent.parent
 KILL_AFTER = 0.7  # s after SIGTERM: the platform's earliest
@@ -72,7 +72,7 @@
         self._ended(reason)
 
 
-class _Ping(Lines):
+class _Ping(LineConnection):
     def __init__(self, heard: Callable[[], None]) -> None:
         super().__init__()
         self._heard = heard
@@ -86,7 +86,7 @@
         self.abort()
 
 
-class _Collector(Lines):
+class _Collector(LineConnection):
     def connectionMade(self) -> None:
         self.send("SOURCE zone=a")
 
@@ -97,7 +97,7 @@
 
     seed: int
     crowd: bool
-    breaks: tuple[Break, ...]
+    violations: tuple[Violation, ...]
     starts: int
     messages: int
     worst_ready: float
@@ -107,9 +107,9 @@
         state = "crowd" if self.crowd else "plain"
         head = (
             f"seed {self.seed} ({state}): {self.starts} starts, ready within {self.worst_ready:.1f} s, "
-            f"{self.messages} messages, {len(self.breaks)} breaks"
+            f"{self.messages} messages, {len(self.violations)} breaks"
         )
-        return "\n".join([head, *(one.text(self.seed) for one in self.breaks[:5])])
+        return "\n".join([head, *(one.text(self.seed) for one in self.violations[:5])])
 
 
 class Soak:
@@ -140,7 +140,7 @@
         self._starts = self._messages = 0
         self._worst, self._began, self._ready = 0.0, reactor.seconds(), False
         self._started = self._due = 0.0
-        self._strangers = dict[Stranger, bytes]()
+        self._strangers = dict[UnidentifiedClient, bytes]()
         self._ended: defer.Deferred[None] = defer.Deferred()
 
     def _now(self) -> float:
@@ -176,7 +176,7 @@
         self._starts, self._ready, self._killed = self._starts + 1, False, False
         self._started, self._ended = self._now(), defer.Deferred()
         for one in self._registry.entries.values():  # as `known` tells them
-            self._judge.told(self._now(), one["id"], one["state"])
+            self._judge.entry_sent(self._now(), one["id"], one["state"])
         life = _Process(self._logged, self._over)
         self._process = self._reactor.spawnProcess(
             life, "/bin/sh", ["/bin/sh", "-c", run], environment, str(ROOT)
@@ -256,7 +256,7 @@
     # The list.
 
     def _told(self, one: Mapping[str, Any]) -> None:
-        self._judge.told(self._now(), one["id"], one["state"])
+        self._judge.entry_sent(self._now(), one["id"], one["state"])
 
     def _worker_event(self) -> None:
         """One drains, vanishes, returns under its id elsewhere, falls silent; or a new one comes."""
@@ -303,8 +303,8 @@
         elif what == "lost":
             self._judge.left(proxy.number)
         elif what == "unreadable":
-            self._judge.broke(self._now(), f"proxy {proxy.number}", str(more))
-        elif isinstance(more, Order):
+            self._judge.add_violation(self._now(), f"proxy {proxy.number}", str(more))
+        elif isinstance(more, ConfigMessage):
             self._messages += 1
             self._judge.message(self._now(), proxy.number, more.names(), more.lines)
 
@@ -339,7 +339,7 @@
             if life is self._process:
                 self._judge.stranger(self._now(), said, took)
 
-        stranger = Stranger(said, self._reactor, owed)
+        stranger = UnidentifiedClient(said, self._reactor, owed)
         self._strangers[stranger] = said
         factory = protocol.ClientFactory()
         factory.noisy = False
@@ -435,7 +435,7 @@
         return Verdict(
             self._seed,
             self._crowd,
-            tuple(self._judge.breaks),
+            tuple(self._judge.violations),
             self._starts,
             self._messages,
             self._worst,
@@ -447,7 +447,9 @@
 
     def _late_end(self, life: Any) -> None:
         if life is not None and life is self._process:
-            self._judge.broke(self._now(), "process", "still there 5.7 s after SIGTERM", self._log[-5:])
+            self._judge.add_violation(
+                self._now(), "process", "still there 5.7 s after SIGTERM", self._log[-5:]
+            )
             self._signal(signal.SIGKILL)
 
     def _last_look(self) -> None:
@@ -462,7 +464,7 @@
             )
 
 
-def run(first: int, seeds: int, seconds: float, crowd: bool | None, say: Callable[[str], None]) -> int:
+def run_soak(first: int, seeds: int, seconds: float, crowd: bool | None, say: Callable[[str], None]) -> int:
     """Plays the seeds one after the other; says each verdict. The number of seeds that broke an aim.
 
     crowd: whether each run has one; None: every third has.
@@ -478,7 +480,7 @@
                 has_crowd = seed % 3 == 0 if crowd is None else crowd
                 verdict = await Soak(reactor, seed, seconds, has_crowd, Path(folder)).play()
             say(verdict.text())
-            if verdict.breaks:
+            if verdict.violations:
                 broken.append(seed)
                 say("\n".join(f"    log: {line[:300]}" for line in verdict.log))
 
--- a/rushladder/trials/soak_judge.py
+++ b/rushladder/trials/soak_judge.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Break:
+class Violation:
     """One aim that was not kept."""
 
     second: float
@@ -45,13 +45,16 @@
 
     def __init__(self, grace: float, bare: float, cap: int, span: float) -> None:
         self._grace, self._bare, self._cap, self._span = grace, bare, cap, span
-        self.breaks, self.lateness = list[Break](), 0.0  # lateness: of the soak itself, added to limits
+        self.violations, self.lateness = (
+            list[Violation](),
+            0.0,
+        )  # lateness: of the soak itself, added to limits
         self._listed, self._left, self._ready = set[str](), dict[str, float](), set[str]()
         self._joined, self._empty_since = dict[int, _Joined](), dict[int, float]()
         self._serves_since, self._accused = 0.0, set[tuple[int, str]]()
 
-    def broke(self, at: float, connection: str, what: str, before: Collection[str] = ()) -> None:
-        self.breaks.append(Break(at, connection, what, list(before)))
+    def add_violation(self, at: float, connection: str, what: str, before: Collection[str] = ()) -> None:
+        self.violations.append(Violation(at, connection, what, list(before)))
 
     # The manager.
 
@@ -59,12 +62,12 @@
         """The first PONG after a start."""
         self._serves_since = at + FIRST_GRACE
         if took > READY_WITHIN + self.lateness:
-            self.broke(at, "start", f"ready after {took:.1f} s")
+            self.add_violation(at, "start", f"ready after {took:.1f} s")
 
     def ended(self, at: float, code: int | None, killed: bool, log: Sequence[str]) -> None:
         """The process has ended; code: None where a signal ended it."""
         if code != 0 and not (killed and code is None):
-            self.broke(at, "process", f"ended with {code}", log[-KEPT:])
+            self.add_violation(at, "process", f"ended with {code}", log[-KEPT:])
         self._joined.clear()
         self._empty_since.clear()
         self._left.clear()
@@ -72,14 +75,14 @@
 
     def logged(self, at: float, line: str) -> None:
         if "Traceback" in line or '"event": "error"' in line:
-            self.broke(at, "log", "a fault of the program", [line[-2000:]])
+            self.add_violation(at, "log", "a fault of the program", [line[-2000:]])
 
     def reloaded(self, at: float) -> None:
         self._serves_since = max(self._serves_since, at + RELOAD_GRACE)
 
     # The list.
 
-    def told(self, at: float, name: str, state: str) -> None:
+    def entry_sent(self, at: float, name: str, state: str) -> None:
         """Discovery has written the entry to the manager."""
         self._listed.add(name)
         if state == "ready":
@@ -108,10 +111,12 @@
         stream.lines.extend(lines)
         stream.messages.append(at)
         for name in sorted(set(names) - self._listed):
-            self.broke(at, f"proxy {proxy}", f"an order for {name}, which was never listed", stream.lines)
+            self.add_violation(
+                at, f"proxy {proxy}", f"an order for {name}, which was never listed", stream.lines
+            )
         recent = sum(one > at - self._span for one in stream.messages)
         if self._cap and recent > self._cap:
-            self.broke(
+            self.add_violation(
                 at, f"proxy {proxy}", f"{recent} messages in {self._span:g} s of {self._cap}", stream.lines
             )
 
@@ -127,7 +132,7 @@
             late = at - max(self._left[name], stream.since, self._serves_since) - self._grace
             if late > limit:
                 self._accused.add((proxy, name))
-                self.broke(
+                self.add_violation(
                     at, f"proxy {proxy}", f"may send to {name} {late:.2f} s after the grace", stream.lines
                 )
         if usable or not self._ready:
@@ -136,21 +141,21 @@
         since = self._empty_since.setdefault(proxy, max(at, self._serves_since))
         if at - since > self._bare + limit:
             self._empty_since[proxy] = at
-            self.broke(at, f"proxy {proxy}", "no worker to send to", stream.lines)
+            self.add_violation(at, f"proxy {proxy}", "no worker to send to", stream.lines)
 
     # The rest.
 
     def stranger(self, at: float, said: bytes, took: float) -> None:
         if took > STRANGER_WITHIN + self.lateness:
-            self.broke(at, "stranger", f"{said[:40]!r} was owed an answer for {took:.1f} s")
+            self.add_violation(at, "stranger", f"{said[:40]!r} was owed an answer for {took:.1f} s")
 
     def resources(self, at: float, descriptors: int, expected: int, rss_mb: float, most_mb: float) -> None:
         if descriptors > expected:
-            self.broke(at, "process", f"{descriptors} descriptors, {expected} at most expected")
+            self.add_violation(at, "process", f"{descriptors} descriptors, {expected} at most expected")
         if rss_mb > most_mb:
-            self.broke(at, "process", f"{rss_mb:.0f} MB, {most_mb:.0f} may")
+            self.add_violation(at, "process", f"{rss_mb:.0f} MB, {most_mb:.0f} may")
 
     def watched(self, at: float, watched: bool) -> None:
         """Whether the last configuration's address of discovery is watched."""
         if not watched:
-            self.broke(at, "discovery", "the last configuration is not in force")
+            self.add_violation(at, "discovery", "the last configuration is not in force")
--- a/tests/fake_cluster.py
+++ b/tests/fake_cluster.py
@@ -15,7 +15,7 @@
 from rushladder.interface import ProbeResult
 from rushladder.runtime.endpoint import CONNECTION_DONE, Level, RuntimeClient, RuntimeFactory, RuntimeServer
 from rushladder.service.manager import Manager
-from rushladder.standins.gateway import GatewayState
+from rushladder.standins.gateway_state import GatewayState
 
 PLAN = """
 manager {name}
@@ -143,7 +143,7 @@
         state = self.gateways[name] = GatewayState(("ask", "pay"), self.clock.seconds, pid, self.draw)
         for product in state.backends:  # a standing table, as a proxy's own file gives it
             state.add(product, "s0", "127.0.0.1:7000")
-        state.heard = lambda words, answer: self.sent.append((self.clock.seconds(), name, words, answer))
+        state.on_command = lambda words, answer: self.sent.append((self.clock.seconds(), name, words, answer))
         return state
 
     def start_manager(self, name: str, restored: str = "") -> Manager:
@@ -177,7 +177,7 @@
             return connected
         near, far = FakeTransport(self.clock, self.delay), FakeTransport(self.clock, self.delay)
         near.other, far.other = far, near
-        factory = RuntimeFactory(self.gateways[site.name].verbs, Level.ADMIN, self.clock)
+        factory = RuntimeFactory(self.gateways[site.name].commands, Level.ADMIN, self.clock)
         server = factory.buildProtocol(None)
         assert isinstance(server, RuntimeServer)
         near.protocol, far.protocol = client, server
@@ -198,11 +198,11 @@
                 for state in self.gateways.values():
                     for product in state.backends:
                         for _ in range(rate):
-                            line = state.pick(product) if state.lets_in(product) else None
+                            line = state.pick(product) if state.admits(product) else None
                             if line is not None and line.name in self.hung:
                                 line.voided += 1
                             elif line is not None:
-                                line.settle(self.service_time.get(line.name, 0.15))
+                                line.record_settled(self.service_time.get(line.name, 0.15))
 
     def change_commands(self, name: str, since: float = 0.0) -> list[tuple[str, ...]]:
         """Commands that changed the gateway's servers or maps."""
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -91,10 +91,10 @@
         for turn in range(14):
             for state in world.gateways.values():
                 for product, lines in state.backends.items():
-                    state.came[product] += 60
+                    state.received[product] += 60
                     for line in lines.values():
                         for _ in range(10 if line.weight else 0):
-                            line.settle(0.9 + 0.05 * turn)
+                            line.record_settled(0.9 + 0.05 * turn)
             world.run(1)
         low = int(world.gateways["g0"].maps["levels"]["ask"])
         self.assertLess(low, 1000)
@@ -106,7 +106,7 @@
     def cut_at(self, world: FakeCluster, words: tuple[str, ...], many: int) -> list[dict[str, str]]:
         """The socket breaks the moment g0 has carried out the `many`th command that starts so."""
         seen, levels = [0], list[dict[str, str]]()
-        state, heard = world.gateways["g0"], world.gateways["g0"].heard
+        state, heard = world.gateways["g0"], world.gateways["g0"].on_command
 
         def cut(got: tuple[str, ...], answer: str) -> None:
             heard(got, answer)
@@ -116,7 +116,7 @@
                 world.wires["m0", "g0"].muted = True  # the rest of the line, and every answer, is lost
                 world.wires["m0", "g0"].abortConnection()
 
-        state.heard = cut
+        state.on_command = cut
         return levels
 
     def test_a_socket_that_drops_between_two_servers_orders_is_read_back(self) -> None:
@@ -192,11 +192,11 @@
         world.run(8, rate=20)
         ctl(world.managers["m0"], "disable server fleet/s2")
         self.assertEqual(ctl(world.managers["m0"], "del server fleet/s2"), "Server deleted.\n")
-        world.gateways["g0"].backends["pay"]["s2"].held = 1  # a txn in hand: the gateway refuses for now
+        world.gateways["g0"].backends["pay"]["s2"].in_flight = 1  # a txn in hand: the gateway refuses for now
         world.run(95, rate=20)
         self.assertNotIn("s2", world.gateways["g0"].backends["ask"])
         self.assertIn("s2", world.gateways["g0"].backends["pay"])
-        world.gateways["g0"].backends["pay"]["s2"].held = 0
+        world.gateways["g0"].backends["pay"]["s2"].in_flight = 0
         world.run(35, rate=20)
         self.assertNotIn("s2", world.gateways["g0"].backends["pay"])
         self.assertEqual(set(world.gateways["g0"].backends["ask"]) - {"s0", "s1", "s3"}, set())
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from rushladder.standins.platform import HEAD, chunk, configuration, entry, listing
+from rushladder.standins.platform import RESPONSE_HEAD, chunk, configuration, entry, listing
 
 ROOT = Path(__file__).parent.parent
 WAIT = 20.0  # s that anything may take on a busy machine
@@ -204,7 +204,7 @@
         manager = self.manager(*workers, **more).serves()
         watch = self.discovery.take()
         self.assertEqual(watch.watched(), "41")
-        watch.send(HEAD)
+        watch.send(RESPONSE_HEAD)
         proxy = manager.dial().join(3)
         proxy.until("rows=")
         return manager, watch, proxy
@@ -330,7 +330,7 @@
         last = third.take()
         self.assertEqual(last.watched(), "41")
         self.assertTrue(middle.ended())
-        last.send(HEAD)
+        last.send(RESPONSE_HEAD)
         self.assertTrue(watch.ended())
         last.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
@@ -354,7 +354,7 @@
         watch.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
         watch.sock.close()  # 1.5 s later, by the platform's word: the new one stays
-        new.send(HEAD)
+        new.send(RESPONSE_HEAD)
         new.chunk(listing(42, entry("s-2", state="draining")) + listing(43, entry("s-1", state="draining")))
         proxy.until("drop=s-1")
 
@@ -368,7 +368,7 @@
 class WatchRaces(Races):
     def test_silence_anywhere_is_dialled_again(self) -> None:
         whole = listing(42, *map(entry, ("s-0", "s-1", "s-2", "s-3")), full=True)
-        said = (b"", b"HTTP/1.1 200 OK\r\nTransfer-", HEAD + b'40\r\n{"version', None)
+        said = (b"", b"HTTP/1.1 200 OK\r\nTransfer-", RESPONSE_HEAD + b'40\r\n{"version', None)
         dialled = []
         for head in said:  # side by side, as each takes the 3 s of silence
             self.discovery = Place(self)
@@ -376,7 +376,7 @@
             watch = self.discovery.take()
             watch.watched()
             if head is None:
-                watch.send(HEAD)
+                watch.send(RESPONSE_HEAD)
                 watch.chunk(whole)
             else:
                 watch.send(head)
@@ -400,7 +400,7 @@
         proxy.until("drop=s-3")
         again = self.discovery.take()
         self.assertEqual(again.watched(), "0")
-        again.send(HEAD)
+        again.send(RESPONSE_HEAD)
         again.chunk(listing(43, entry("s-0"), entry("s-1"), entry("s-2", state="draining"), full=True))
         proxy.until("drop=s-2")
 
@@ -411,7 +411,7 @@
         watch.sock.close()
         again = self.discovery.take()
         self.assertEqual(again.watched(), "41")
-        again.send(HEAD)
+        again.send(RESPONSE_HEAD)
         again.chunk(change)
         proxy.until("drop=s-2")
 
@@ -642,7 +642,7 @@
         if not self.discovery.unasked(1.0):
             again = self.discovery.take()
             if again.watched() == "41":
-                again.send(HEAD)
+                again.send(RESPONSE_HEAD)
                 again.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
         self.assertGreater(time.monotonic() - began, 3)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
 from rushladder.service.persistence import Persistence
-from rushladder.standins.folder import Entries, Folder, Tail
+from rushladder.standins.simulated_folder import Entries, SimulatedFolder, Tail
 from rushladder.store.commands import Effect, Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
@@ -154,7 +154,7 @@
     """A world whose managers keep what they learn on a disk that can lose power."""
 
     def __init__(self, **more: Any) -> None:
-        self.folders, self.wall_ahead, self.fleet = dict[str, Folder](), 1.7e9, "fleet"
+        self.folders, self.wall_ahead, self.fleet = dict[str, SimulatedFolder](), 1.7e9, "fleet"
         super().__init__(**more)
 
     def wall(self) -> float:
@@ -162,7 +162,7 @@
 
     def start_manager(self, name: str, restored: str = "") -> Manager:
         self.logs[name] = RecordingLog()
-        folder = self.folders.setdefault(name, Folder())
+        folder = self.folders.setdefault(name, SimulatedFolder())
         log = Log(folder, self.fleet, name, MINORS, wall=lambda: int(1000 * self.wall()))
         log.open()
         writer = Writer(log, self.clock, at_once, lambda why: None)
@@ -183,7 +183,7 @@
     def power_cut(self, name: str, away: float = 1.0) -> Manager:
         """The manager and all that was not synced are gone; it comes back after a while."""
         self.kill(name)
-        folder = self.folders[name].after_power(Tail.TORN, Entries.SOME, Random(1))
+        folder = self.folders[name].after_power_cut(Tail.TORN, Entries.SOME, Random(1))
         self.folders[name] = folder
         self.run(away, 10)
         return self.start_manager(name)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,12 +19,12 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.task import Clock
 
-from rushladder.standins.folder import Entries, Folder, Tail
+from rushladder.standins.simulated_folder import Entries, SimulatedFolder, Tail
 from rushladder.store.files import Disk, FolderLocked
 from rushladder.store.frames import BODY, HEAD, Damage, Record, encode_frame, decode_frames
 from rushladder.store.log import ASIDE, Log, Migrations, IncompatibleStore, file_number
 from rushladder.store.writer import FIRST_WAIT, GATHER, Writer
-from rushladder.trials.crashes import explore, new_log, rot, run
+from rushladder.trials.crashes import explore_crash_points, new_log, flip_bits, run_until_power_cut
 
 RECORDS = st.builds(
     Record,
@@ -66,29 +66,29 @@
     def test_at_every_crash_point_what_was_acknowledged_is_there_and_nothing_else(self) -> None:
         tried = opened = 0
         for seed in (1, 2):
-            some = explore(30, seed)
+            some = explore_crash_points(30, seed)
             tried, opened = tried + some[0], opened + some[1]
         self.assertGreater(tried, 2000)
         self.assertGreater(opened, 3 * tried)
 
     def test_a_bit_that_turns_later_is_noticed_and_never_trusted(self) -> None:
-        self.assertEqual(rot(25, 3, 200), (200, 200))
+        self.assertEqual(flip_bits(25, 3, 200), (200, 200))
 
     def test_a_snapshot_that_lost_its_end_is_not_trusted_and_its_elder_is(self) -> None:
-        folder = Folder()
-        told = run(folder, 40, 5)
+        folder = SimulatedFolder()
+        told = run_until_power_cut(folder, 40, 5)
         snap = max(name for name in folder.names() if name.startswith("snap-"))
         data = folder.read(snap)
         for many in (1, HEAD.size + BODY.size + 2, len(data) // 2, len(data)):
-            other = folder.after_power(Tail.WHOLE, Entries.DONE, Random(1))
+            other = folder.after_power_cut(Tail.WHOLE, Entries.DONE, Random(1))
             other._files[snap].data = other._files[snap].synced = data[: len(data) - many]
             log = new_log(other)
             opened = log.open()
-            self.assertEqual(log.state, told.sure)
+            self.assertEqual(log.state, told.acknowledged)
             self.assertNotEqual(opened.snapshot, snap)
 
     def test_a_good_tail_behind_a_corrupt_middle_is_kept_and_the_file_set_aside(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         log = new_log(folder)
         log.open()
         for k in range(3):
@@ -104,7 +104,7 @@
         self.assertTrue(next(one for one in folder.names() if one.startswith("aside-")).endswith(name))
 
     def test_the_disk_holds_a_bounded_part_and_no_more_than_some_files_aside(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         for _ in range(ASIDE + 5):
             log = new_log(folder)
             log.open()
@@ -119,8 +119,8 @@
         self.assertEqual(len([name for name in folder.names() if name.startswith("aside-")]), ASIDE)
 
     def test_a_foreign_folder_is_refused_and_left_as_it_is(self) -> None:
-        folder = Folder()
-        run(folder, 5, 1)
+        folder = SimulatedFolder()
+        run_until_power_cut(folder, 5, 1)
         before = {name: folder.read(name) for name in folder.names()}
         for fleet, manager in (("other", "m1"), ("fleet", "m2")):
             with self.assertRaises(IncompatibleStore):
@@ -128,7 +128,7 @@
         self.assertEqual({name: folder.read(name) for name in folder.names()}, before)
 
     def test_newer_minor_versions_are_skipped_whole_and_older_ones_migrated(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         log = Log(folder, "fleet", "m1", {1: 2, 2: 0})
         log.open()
         log.put(1, "new", b"v2")
@@ -140,27 +140,27 @@
         self.assertEqual(back.state, {(2, "old"): b"v0+1+2"})
 
     def test_a_full_or_read_only_disk_loses_nothing_that_waits(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         log = new_log(folder)
         log.open()
         log.put(1, "a", b"1")
-        folder.full = sum(len(folder.read(name)) for name in folder.names()) + 10
+        folder.capacity = sum(len(folder.read(name)) for name in folder.names()) + 10
         with self.assertRaises(OSError):
             log.commit()
-        folder.full, folder.read_only = 0, True
+        folder.capacity, folder.read_only = 0, True
         with self.assertRaises(OSError):
             log.commit()
         folder.read_only = False
         log.put(1, "b", b"2")
         self.assertEqual(log.commit(), 2)
-        after = new_log(folder.after_power(Tail.LOST, Entries.LOST, Random(1)))
+        after = new_log(folder.after_power_cut(Tail.LOST, Entries.LOST, Random(1)))
         after.open()
         self.assertEqual(after.state, {(1, "a"): b"1", (1, "b"): b"2"})
 
 
 class WriterStories(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.folder, self.faults = Clock(), Folder(), list[str]()
+        self.clock, self.folder, self.faults = Clock(), SimulatedFolder(), list[str]()
         self.log = new_log(self.folder)
         self.log.open()
         self.slow = list[Callable[[], None]]()
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -12,7 +12,7 @@
 from rushladder.conf.grammar import InvalidConfig
 from rushladder.conf.reader import parse_config
 from rushladder.trials.day import Day, read_day
-from rushladder.trials.judge import judge, load
+from rushladder.trials.judge import judge, load_records
 
 ROOT = Path(__file__).parent.parent
 TEXT = """
@@ -61,7 +61,7 @@
             row(21, "trial", "day", what="ends"),
         ]
         found = judge(self.day(), sorted(whole, key=lambda one: float(one["t"])))
-        return [(one.rule, one.where) for one in found.breaks]
+        return [(one.rule, one.where) for one in found.violations]
 
     def day(self) -> Day:
         return read_day(TEXT, "day")
@@ -148,7 +148,7 @@
             Path(folder, "x.jsonl").write_text(
                 json.dumps(row(1, "trial", "day", what="begins")) + '\n{"t": 2, "wh'
             )
-            rows = load(Path(folder))
+            rows = load_records(Path(folder))
         self.assertEqual(len(rows), 1)
         self.assertRaises(ValueError, judge, self.day(), rows)
 
