--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from rushladder.standins.simulated_folder import SimulatedFolder
+from rushladder.standins.folder import SimulatedFolder
 from rushladder.store.log import Log
 from rushladder.store.memory import DAY, MINORS, Kind
 from rushladder.store.store_pb2 import ServerMemory
--- a/rushladder/standins/__init__.py
+++ b/rushladder/standins/__init__.py
@@ -1,2 +1,1 @@
-"""Small stand-ins for gateways, collectors and clients, and nothing more: what trials and tests are run
-against."""
+"""Test doubles that run as real processes: gateways, collectors, clients, resolvers and the platform."""
--- a/rushladder/standins/__main__.py
+++ b/rushladder/standins/__main__.py
@@ -1,5 +1,4 @@
-"""`python -m rushladder.standins FILE` runs the one stand-in that a JSON file describes, until it is told
-to stop."""
+"""Runs the stand-in that a JSON file describes, until it is stopped: `python -m rushladder.standins FILE`."""
 
 from __future__ import annotations
 
@@ -11,43 +10,47 @@
 from twisted.internet import reactor as _reactor
 
 from rushladder.standins import collector, http_gateway, load_generator, resolvers
-from rushladder.standins.event_record import EventRecord
+from rushladder.standins.record import EventRecord
 
 reactor: Any = _reactor
 
 
 def main() -> None:
-    what = json.loads(Path(sys.argv[1]).read_text())
-    record = EventRecord(what["record"], what["who"])
-    if what["kind"] == "collectors":
+    """Reads the file named on the command line and runs its stand-in in the reactor."""
+    config = json.loads(Path(sys.argv[1]).read_text())
+    record = EventRecord(config["record"], config["who"])
+    if config["kind"] == "collectors":
         collector.serve(
-            [collector.CollectorConfig(**build) for build in what["builds"]], reactor, record, what["control"]
+            [collector.CollectorConfig(**fields) for fields in config["builds"]],
+            reactor,
+            record,
+            config["control"],
         )
-    elif what["kind"] == "gateway":
+    elif config["kind"] == "gateway":
         http_gateway.serve(
-            what["who"],
-            what["port"],
-            what["sockets"],
-            what["control"],
-            what["products"],
-            what["standing"],
+            config["who"],
+            config["port"],
+            config["sockets"],
+            config["control"],
+            config["products"],
+            config["standing"],
             reactor,
             record,
         )
-    elif what["kind"] == "resolvers":
-        resolvers.serve(what, reactor, record)
+    elif config["kind"] == "resolvers":
+        resolvers.serve(config, reactor, record)
     else:
         load_generator.serve(
             load_generator.LoadGenerator(
-                [load_generator.RequestProfile(**ask) for ask in what["asks"]],
-                what["gateways"],
-                what["rate"],
-                what["seed"],
+                [load_generator.RequestProfile(**fields) for fields in config["asks"]],
+                config["gateways"],
+                config["rate"],
+                config["seed"],
                 reactor,
                 record,
             ),
             reactor,
-            what["control"],
+            config["control"],
         )
     reactor.run()
 
--- a/rushladder/standins/gateway_state.py
+++ b/rushladder/standins/gateway_state.py
@@ -1,7 +1,7 @@
-"""A plain proxy as its runtime socket shows it: backends, servers, maps, variables and sums. No socket of
-its own here.
+"""The state of a plain proxy as its runtime socket exposes it: backends, servers, maps, variables, counters.
 
-Written from HAProxy's public management guide; only what a manager of ours uses, plus the errors it may meet.
+Written from HAProxy's public management guide. Covers only the commands that our managers use and the errors
+that they may get. It opens no socket.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command, format_csv
 
-SAMPLES = 1024  # of the sliding mean, as the guide says
+MEAN_SAMPLES = 1024  # of the sliding mean, as in the guide
 COLUMNS = """
     pxname svname qcur qmax scur smax slim stot bin bout dreq dresp ereq econ eresp wretr wredis status
     weight act bck chkfail chkdown lastchg downtime qlimit pid iid sid throttle lbtot tracked type rate
@@ -32,7 +32,7 @@
 
 @attrs.define(eq=False)
 class Line:
-    """One server of one backend, with its sums since the start."""
+    """One server of one backend, with its counters since the start."""
 
     backend: str
     name: str
@@ -43,18 +43,23 @@
     voided: int = 0
     connect_failures: int = 0
     mean: float = 0.0
-    in_flight: int = 0  # txns in hand
+    in_flight: int = 0
     consecutive_voids: int = 0
     ejected_until: float = 0.0
 
     def record_settled(self, seconds: float) -> None:
+        """Counts a settled txn and adds its duration to the sliding mean."""
         self.settled += 1
-        self.mean += (1000 * seconds - self.mean) / min(self.settled, SAMPLES)
+        self.mean += (1000 * seconds - self.mean) / min(self.settled, MEAN_SAMPLES)
         self.consecutive_voids = 0
 
 
 class GatewayState:
-    """The state behind one gateway's socket. `clock` gives seconds; `pid` tells one life from the next."""
+    """The state behind one gateway's runtime sockets.
+
+    clock: returns seconds. pid: differs from one incarnation to the next.
+    draw: returns a random number in [0, 1).
+    """
 
     def __init__(
         self,
@@ -76,7 +81,7 @@
         operator, admin = Level.OPERATOR, Level.ADMIN
         self.commands = CommandTable(
             [
-                self._verb(*row)
+                self._command_spec(*row)
                 for row in (
                     ("show info", Level.USER, self._info),
                     ("show stat", Level.USER, self._stat),
@@ -96,49 +101,50 @@
             ]
         )
 
-    def _verb(self, words: str, level: Level, run: Callable[[tuple[str, ...]], str]) -> CommandSpec:
-        def noted(command: Command, _: Level) -> str:
+    def _command_spec(self, name: str, level: Level, run: Callable[[tuple[str, ...]], str]) -> CommandSpec:
+        def run_and_notify(command: Command, _: Level) -> str:
             answer = ""
             try:
                 answer = run(command.words)
             except CommandRefused as refused:
                 answer = f"{refused}\n"
             except IndexError:
-                answer = f"'{words}' lacks an argument.\n"
+                answer = f"'{name}' lacks an argument.\n"
             self.on_command(command.words, answer)
             return answer
 
-        return CommandSpec(tuple(words.split()), level, words, noted)
+        return CommandSpec(tuple(name.split()), level, name, run_and_notify)
 
-    # Its work.
+    # Traffic.
 
     def add(self, backend: str, name: str, address: str, weight: int = 1) -> None:
         self.backends[backend][name] = Line(backend, name, address, weight)
 
     def admits(self, product: str) -> bool:
+        """Counts a new txn and decides by the product's level whether it is admitted or declined."""
         self.received[product] += 1
         if self._draw() * 1000 < float(self.maps["levels"].get(product, "1000")):
             return True
         self.declined[product] += 1
         return False
 
-    def pick(self, product: str, but: Sequence[Line] = ()) -> Line | None:
-        """By weight, away from those whose last tries all failed unless there is nobody else."""
+    def pick(self, product: str, excluded: Sequence[Line] = ()) -> Line | None:
+        """Draws a line by weight, skipping ejected ones unless all usable lines are ejected."""
         usable = [
             line
             for line in self.backends[product].values()
-            if line.weight and line.admin == "ready" and line not in but
+            if line.weight and line.admin == "ready" and line not in excluded
         ]
-        near = [line for line in usable if line.ejected_until <= self.clock()] or usable
-        whole, place = sum(line.weight for line in near), 0.0
-        place = self._draw() * whole
-        for line in near:
-            place -= line.weight
-            if place < 0:
+        candidates = [line for line in usable if line.ejected_until <= self.clock()] or usable
+        total_weight, position = sum(line.weight for line in candidates), 0.0
+        position = self._draw() * total_weight
+        for line in candidates:
+            position -= line.weight
+            if position < 0:
                 return line
         return None
 
-    # Its socket.
+    # Commands of the runtime socket.
 
     def _line(self, name: str) -> Line:
         backend, _, server = name.partition("/")
@@ -151,10 +157,10 @@
         return self.backends[backend][server]
 
     def _info(self, words: tuple[str, ...]) -> str:
-        up = self.clock() - self.started
+        uptime = self.clock() - self.started
         return (
-            f"Name: HAProxy\nVersion: 2.8\nNbthread: 1\nPid: {self.pid}\nUptime: 0d 0h00m{int(up):02d}s\n"
-            f"Uptime_sec: {int(up)}\nCurrConns: 0\n"
+            f"Name: HAProxy\nVersion: 2.8\nNbthread: 1\nPid: {self.pid}\nUptime: 0d 0h00m{int(uptime):02d}s\n"
+            f"Uptime_sec: {int(uptime)}\nCurrConns: 0\n"
         )
 
     def _stat(self, words: tuple[str, ...]) -> str:
@@ -194,26 +200,26 @@
 
     def _servers(self, words: tuple[str, ...]) -> str:
         text = "1\n# " + " ".join(STATE_COLUMNS) + "\n"
-        for place, (backend, lines) in enumerate(self.backends.items(), 2):
-            for number, line in enumerate(lines.values(), 1):
+        for backend_id, (backend, lines) in enumerate(self.backends.items(), 2):
+            for server_id, line in enumerate(lines.values(), 1):
                 host, port = line.address.rsplit(":", 1)
                 bits = {"ready": 0, "drain": 8, "maint": 1}[line.admin]
                 op = 0 if bits & 1 else 2
-                text += f"{place} {backend} {number} {line.name} {host} {op} {bits} {line.weight} 1 "
+                text += f"{backend_id} {backend} {server_id} {line.name} {host} {op} {bits} {line.weight} 1 "
                 text += f"0 1 0 0 0 0 0 0 - {port} -\n"
         return text
 
     def _set_server(self, words: tuple[str, ...]) -> str:
-        line, what = self._line(words[2]), words[3]
-        if what == "weight":
+        line, setting = self._line(words[2]), words[3]
+        if setting == "weight":
             if not re.fullmatch(r"\d{1,3}", words[4]) or int(words[4]) > 256:
                 raise CommandRefused("Absolute weight can only be between 0 and 256 inclusive.")
             line.weight = int(words[4])
-        elif what == "state":
+        elif setting == "state":
             if words[4] not in ("ready", "drain", "maint"):
                 raise CommandRefused("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
             line.admin = words[4]
-        elif what == "addr":
+        elif setting == "addr":
             line.address = f"{words[4]}:{words[6]}"
         else:
             raise CommandRefused(
@@ -242,32 +248,32 @@
         del self.backends[line.backend][line.name]
         return "Server deleted.\n"
 
-    def _map(self, words: tuple[str, ...], place: int) -> dict[str, str]:
-        if words[place] not in self.maps:
+    def _map(self, words: tuple[str, ...], index: int) -> dict[str, str]:
+        if words[index] not in self.maps:
             raise CommandRefused("Unknown map identifier. Please use #<id> or <file>.")
-        return self.maps[words[place]]
+        return self.maps[words[index]]
 
     def _show_map(self, words: tuple[str, ...]) -> str:
         if len(words) < 3:
             return "# id (file) description\n" + "".join(f"-1 ({name}) map\n" for name in self.maps)
         return "".join(
-            f"0x{place:x} {key} {value}\n"
-            for place, (key, value) in enumerate(self._map(words, 2).items(), 4096)
+            f"0x{entry_id:x} {key} {value}\n"
+            for entry_id, (key, value) in enumerate(self._map(words, 2).items(), 4096)
         )
 
     def _prepare(self, words: tuple[str, ...]) -> str:
         self._map(words, 2)
         self._version += 1
         self._versions[words[2], str(self._version)] = {}
-        while len(self._versions) > 16:  # versions that were never committed
+        while len(self._versions) > 16:  # drops the oldest versions that were never committed
             del self._versions[next(iter(self._versions))]
         return f"New version created: {self._version}\n"
 
     def _prepared(self, words: tuple[str, ...]) -> dict[str, str]:
-        found = self._versions.get((words[3], words[2].removeprefix("@")))
-        if found is None:
+        prepared = self._versions.get((words[3], words[2].removeprefix("@")))
+        if prepared is None:
             raise CommandRefused("Unknown version of this map.")
-        return found
+        return prepared
 
     def _add_map(self, words: tuple[str, ...]) -> str:
         self._prepared(words)[words[4]] = words[5]
@@ -294,6 +300,6 @@
         for lines in self.backends.values():
             for line in lines.values():
                 line.settled = line.voided = line.connect_failures = 0
-        for sums in (self.received, self.declined, self.failed):
-            sums.update(dict.fromkeys(sums, 0))
+        for counters in (self.received, self.declined, self.failed):
+            counters.update(dict.fromkeys(counters, 0))
         return ""
--- a/rushladder/standins/load_generator.py
+++ b/rushladder/standins/load_generator.py
@@ -1,4 +1,4 @@
-"""Clients: txns by chance at a rate, each with its SLA time and expiry, some of which come again."""
+"""Stand-in clients: random txns at a given rate, each with an expiry, some of which are repeated."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 
 from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
-from rushladder.standins.event_record import EventRecord
+from rushladder.standins.record import EventRecord
 
-NOTICE = 1.6  # s for which the front layer goes on sending to a dead gateway: the least the brief names
+# s for which the layer in front of the gateways keeps sending to a dead one: the platform's shortest.
+DEAD_GATEWAY_DELAY = 1.6
 
 
 @attrs.frozen
 class RequestProfile:
-    """A product as clients ask for it: its part of all txns, work in seconds, expiry, and whether it may
-    be repeated."""
+    """How clients request a product: its share of all txns, work and expiry in seconds, and whether clients
+    may repeat a txn.
+
+    Created from the JSON fields of the same names.
+    """
 
     name: str
     share: float
@@ -30,7 +34,7 @@
 
 
 class LoadGenerator:
-    """`gateways`: name and port. All randomness comes from one seed."""
+    """Sends txns to gateways, given as name and port. All randomness comes from one seed."""
 
     def __init__(
         self,
@@ -47,93 +51,109 @@
         pool.maxPersistentPerHost = 64
         pool.retryAutomatically = False
         self._agent = client.Agent(reactor, connectTimeout=0.5, pool=pool)
-        self.factor, self.heavy, self.patience = (
+        self.factors, self.heavy, self.patience = (
             dict.fromkeys((ask.name for ask in asks), 1.0),
             (0.0, 1.0),
             1.0,
         )
-        self.hot = ("-", 0.0)  # a gateway that takes a part of all txns beside its share
-        self._number, self._dead = 0, dict[str, float]()
+        self.hot = ("-", 0.0)  # a gateway, and the part of all txns that it gets on top of its share
+        self._txn_count, self._dead_since = 0, dict[str, float]()
         self.stopped = False
 
     def start(self) -> None:
-        self._next()
+        self._schedule_next()
 
-    def _next(self) -> None:
-        whole = sum(ask.share * self.factor[ask.name] for ask in self._asks)
-        total = sum(ask.share for ask in self._asks)
-        self._reactor.callLater(self._random.expovariate(self._rate * whole / total), self._come)
+    def _schedule_next(self) -> None:
+        current_share = sum(ask.share * self.factors[ask.name] for ask in self._asks)
+        base_share = sum(ask.share for ask in self._asks)
+        self._reactor.callLater(
+            self._random.expovariate(self._rate * current_share / base_share), self._arrive
+        )
 
-    def _come(self) -> None:
+    def _arrive(self) -> None:
         if self.stopped:
             return
-        self._next()
-        ask = self._random.choices(self._asks, [ask.share * self.factor[ask.name] for ask in self._asks])[0]
-        self._number += 1
-        part, times = self.heavy
-        work = ask.work * self._random.uniform(0.8, 1.2) * (times if self._random.random() < part else 1.0)
-        Deferred.fromCoroutine(self._txn(ask, f"{ask.name}-{self._number}", work))
-
-    async def _txn(self, ask: RequestProfile, name: str, work: float) -> None:
-        began = self._reactor.seconds()
-        until = began + ask.expiry * self.patience
-        self._record.log_event("ask", id=name, product=ask.name)
-        for turn in range(2):
-            code = await self._once(ask, name, work, until)
-            if code < 400 or turn or not (ask.repeats or code == 429):
+        self._schedule_next()
+        ask = self._random.choices(self._asks, [ask.share * self.factors[ask.name] for ask in self._asks])[0]
+        self._txn_count += 1
+        heavy_share, work_multiple = self.heavy
+        work = (
+            ask.work
+            * self._random.uniform(0.8, 1.2)
+            * (work_multiple if self._random.random() < heavy_share else 1.0)
+        )
+        Deferred.fromCoroutine(self._txn(ask, f"{ask.name}-{self._txn_count}", work))
+
+    async def _txn(self, ask: RequestProfile, txn_id: str, work: float) -> None:
+        started = self._reactor.seconds()
+        deadline = started + ask.expiry * self.patience
+        self._record.log_event("ask", id=txn_id, product=ask.name)
+        for attempt in range(2):
+            code = await self._attempt(ask, txn_id, work, deadline)
+            if code < 400 or attempt or not (ask.repeats or code == 429):
                 break
-            wait = self._random.uniform(0.06, 0.48)
-            if self._reactor.seconds() + wait >= until:
+            backoff = self._random.uniform(0.06, 0.48)
+            if self._reactor.seconds() + backoff >= deadline:
                 break
-            waited: Deferred[None] = Deferred()
-            self._reactor.callLater(wait, waited.callback, None)
-            await waited
+            delay: Deferred[None] = Deferred()
+            self._reactor.callLater(backoff, delay.callback, None)
+            await delay
         self._record.log_event(
-            "told", id=name, product=ask.name, code=code, took=round(self._reactor.seconds() - began, 4)
+            "told", id=txn_id, product=ask.name, code=code, took=round(self._reactor.seconds() - started, 4)
         )
 
-    async def _once(self, ask: RequestProfile, name: str, work: float, until: float) -> int:
+    async def _attempt(self, ask: RequestProfile, txn_id: str, work: float, deadline: float) -> int:
         now = self._reactor.seconds()
-        some = [one for one in self._gateways if not 0 < self._dead.get(one[0], 0) <= now - NOTICE]
-        gateway, port = self._random.choice(some or self._gateways)
+        live = [
+            candidate
+            for candidate in self._gateways
+            if not 0 < self._dead_since.get(candidate[0], 0) <= now - DEAD_GATEWAY_DELAY
+        ]
+        gateway, port = self._random.choice(live or self._gateways)
         if self._random.random() < self.hot[1]:
-            gateway, port = next((one for one in some if one[0] == self.hot[0]), (gateway, port))
-        left = until - now
-        url = f"http://127.0.0.1:{port}/{ask.name}/{name}?work={1000 * work:.1f}&left={1000 * left:.1f}"
+            gateway, port = next(
+                (candidate for candidate in live if candidate[0] == self.hot[0]), (gateway, port)
+            )
+        time_left = deadline - now
+        url = (
+            f"http://127.0.0.1:{port}/{ask.name}/{txn_id}?work={1000 * work:.1f}&left={1000 * time_left:.1f}"
+        )
         try:
-            asked: Deferred[Any] = self._agent.request(b"GET", url.encode())
-            response = await asked.addTimeout(left, self._reactor)
-            reading: Deferred[Any] = client.readBody(response)
-            await reading.addTimeout(max(0.01, until - self._reactor.seconds()), self._reactor)
-            self._dead.pop(gateway, None)
+            request: Deferred[Any] = self._agent.request(b"GET", url.encode())
+            response = await request.addTimeout(time_left, self._reactor)
+            body: Deferred[Any] = client.readBody(response)
+            await body.addTimeout(max(0.01, deadline - self._reactor.seconds()), self._reactor)
+            self._dead_since.pop(gateway, None)
             return int(response.code)
-        except Exception:  # refused, broken or too late: all the same to a client
-            self._dead.setdefault(gateway, now)
-            if now - self._dead[gateway] > NOTICE + 1:
-                self._dead[gateway] = now  # looked at again once a second or so
+        except Exception:  # refused, broken or too late: clients don't distinguish them
+            self._dead_since.setdefault(gateway, now)
+            if now - self._dead_since[gateway] > DEAD_GATEWAY_DELAY + 1:
+                self._dead_since[gateway] = now  # tried again about once a second
             return 599
 
 
-def verbs(load: LoadGenerator) -> CommandTable:
+def control_commands(generator: LoadGenerator) -> CommandTable:
+    """The commands by which a trial changes the load."""
+
     def factor(command: Command, level: Level) -> str:
-        for name in load.factor if command.words[1] == "all" else (command.words[1],):
-            load.factor[name] = float(command.words[2])
+        for name in generator.factors if command.words[1] == "all" else (command.words[1],):
+            generator.factors[name] = float(command.words[2])
         return ""
 
     def heavy(command: Command, level: Level) -> str:
-        load.heavy = float(command.words[1]), float(command.words[2])
+        generator.heavy = float(command.words[1]), float(command.words[2])
         return ""
 
     def patience(command: Command, level: Level) -> str:
-        load.patience = float(command.words[1])
+        generator.patience = float(command.words[1])
         return ""
 
     def hot(command: Command, level: Level) -> str:
-        load.hot = command.words[1], float(command.words[2])
+        generator.hot = command.words[1], float(command.words[2])
         return ""
 
     def stop(command: Command, level: Level) -> str:
-        load.stopped = True
+        generator.stopped = True
         return ""
 
     return CommandTable(
@@ -147,6 +167,7 @@
     )
 
 
-def serve(load: LoadGenerator, reactor: Any, control: str) -> None:
-    reactor.listenUNIX(control, RuntimeFactory(verbs(load), Level.ADMIN, reactor))
-    load.start()
+def serve(generator: LoadGenerator, reactor: Any, control: str) -> None:
+    """Starts the load and its control socket."""
+    reactor.listenUNIX(control, RuntimeFactory(control_commands(generator), Level.ADMIN, reactor))
+    generator.start()
--- a/rushladder/standins/platform.py
+++ b/rushladder/standins/platform.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the operators' platform, written from its protocol page: discovery, proxies, collectors,
-workers' probe ports and strangers, over loopback. They say and hear lines, and judge nothing."""
+"""Stand-ins for the operators' platform on loopback, written from its protocol specification: discovery,
+proxies, workers' probe ports and unidentified clients. They exchange lines and judge nothing."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from twisted.internet import protocol
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-ALIVE_EVERY = 2.0  # s between empty lines of a watch
+KEEP_ALIVE_EVERY = 2.0  # s between the empty keep-alive lines of a watch
 PRODUCT = "ask"
 
 
 def entry(name: str, port: int = 9, state: str = "ready", started_ms: float = 0) -> dict[str, Any]:
-    """One worker of zone a, as discovery's lists have it."""
+    """A worker of zone a as an entry of discovery's lists."""
     return {
         "id": name,
         "addr": f"127.0.0.1:{port}",
@@ -30,19 +30,22 @@
 
 
 def listing(version: int, *entries: Mapping[str, Any], full: bool = False) -> bytes:
-    """One line of a watch."""
+    """A list of workers as one line of a watch."""
     return json.dumps({"version": version, "full": full, "servers": entries}).encode() + b"\n"
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of an HTTP answer."""
+    """One chunk of a chunked HTTP response."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def configuration(
     port: int, discovery: int, workers: Sequence[Mapping[str, Any]], version: int = 41, **family: Any
 ) -> dict[str, Any]:
-    """What a manager is told at its start: one product, one zone, no peers. family: for family_info."""
+    """The configuration that a manager gets at its start: one product, one zone, no peers.
+
+    family: settings that are added to family_info.
+    """
     lane = {
         "deadline": 3000000,
         "idempotency": "retryable",
@@ -89,146 +92,159 @@
 
 
 class Registry:
-    """Discovery's list, the same behind each address. told: hears of entries as they are written."""
+    """Discovery's list of workers, shared by all of its addresses.
+
+    on_written: called with each entry as it is written to a watch.
+    """
 
     def __init__(self, clock: Any, on_written: Callable[[Mapping[str, Any]], None]) -> None:
         self.clock, self.on_written = clock, on_written
         self.version, self.entries = 41, dict[str, dict[str, Any]]()
         self.changes = list[tuple[int, dict[str, Any]]]()
-        self.watches = dict[_Watched, None]()
-        self.silent_until, self._again = 0.0, False
+        self.watches = dict[_WatchConnection, None]()
+        self.suspended_until, self._again = 0.0, False
+
+    def change(self, *entries: dict[str, Any], prefix: bytes = b"", truncate: bool = False) -> None:
+        """Changes the entries and sends them to all watches.
 
-    def change(self, *entries: dict[str, Any], before: bytes = b"", cut: bool = False) -> None:
-        """The entries change; `before`: written first; cut: the line breaks off and its connection ends."""
+        prefix: data written before the line. truncate: the line is cut off and its connection closed.
+        """
         self.version += 1
-        for one in entries:
-            self.changes.append((self.version, one))
-            self.entries[one["id"]] = one
-            if one["state"] == "gone":
-                del self.entries[one["id"]]
+        for changed_entry in entries:
+            self.changes.append((self.version, changed_entry))
+            self.entries[changed_entry["id"]] = changed_entry
+            if changed_entry["state"] == "gone":
+                del self.entries[changed_entry["id"]]
         for watch in list(self.watches):
-            watch.tell(before, cut)
+            watch.send_update(prefix, truncate)
 
-    def fall_silent(self, seconds: float) -> None:
-        """Nothing is said meanwhile; what changed is told after it."""
-        self.silent_until = self.clock.seconds() + seconds
-        self.clock.callLater(seconds + 0.01, self._speak)
+    def suspend_updates(self, seconds: float) -> None:
+        """Sends nothing for so many seconds; the changes of that time are sent afterwards."""
+        self.suspended_until = self.clock.seconds() + seconds
+        self.clock.callLater(seconds + 0.01, self._send_pending)
 
-    def _speak(self) -> None:
+    def _send_pending(self) -> None:
         for watch in list(self.watches):
-            watch.tell()
+            watch.send_update()
 
-    def silent(self) -> bool:
-        return bool(self.clock.seconds() < self.silent_until)
+    def is_silent(self) -> bool:
+        return bool(self.clock.seconds() < self.suspended_until)
 
 
-class _Watched(protocol.Protocol):
-    """One watch at one of discovery's addresses."""
+class _WatchConnection(protocol.Protocol):
+    """One watch connection to one of discovery's addresses."""
 
-    def __init__(self, registry: Registry, place: Discovery) -> None:
-        self.registry, self.place, self._rest, self._index = registry, place, b"", -1
-        self._alive: Any = None
+    def __init__(self, registry: Registry, discovery: Discovery) -> None:
+        self.registry, self.discovery, self._buffer, self._version_sent = registry, discovery, b"", -1
+        self._keep_alive_timer: Any = None
 
     def connectionMade(self) -> None:
-        self.place.open[self] = None
+        self.discovery.connections[self] = None
 
     def dataReceived(self, data: bytes) -> None:
-        self._rest += data
-        if self._index < 0 and b"\r\n\r\n" in self._rest:
-            self._index = int(self._rest.split(b"index=")[1].split(b" ")[0])
-            self._headed = False
+        self._buffer += data
+        if self._version_sent < 0 and b"\r\n\r\n" in self._buffer:
+            self._version_sent = int(self._buffer.split(b"index=")[1].split(b" ")[0])
+            self._head_sent = False
             self.registry.watches[self] = None
-            self.tell()
+            self.send_update()
             self._keep_alive()
 
     def _keep_alive(self) -> None:
-        self._alive = self.registry.clock.callLater(ALIVE_EVERY, self._keep_alive)
-        if not self.registry.silent():
+        self._keep_alive_timer = self.registry.clock.callLater(KEEP_ALIVE_EVERY, self._keep_alive)
+        if not self.registry.is_silent():
             self._write(chunk(b"\n"))
 
-    def tell(self, before: bytes = b"", cut: bool = False) -> None:
-        """Whatever it was not told yet; `cut`: half of it, and the end."""
+    def send_update(self, prefix: bytes = b"", truncate: bool = False) -> None:
+        """Sends the changes since the last update; truncate: cuts the line off and closes the connection."""
         registry = self.registry
-        if registry.silent() or self._index < 0:
+        if registry.is_silent() or self._version_sent < 0:
             return
-        full = self._index == 0
+        full = self._version_sent == 0
         entries = (
             list(registry.entries.values())
             if full
-            else [one for version, one in registry.changes if version > self._index]
+            else [
+                changed_entry for version, changed_entry in registry.changes if version > self._version_sent
+            ]
         )
         line = listing(registry.version, *entries, full=full) if entries or full else b"\n"
-        if cut:
+        if truncate:
             self._write(f"{len(line):x}\r\n".encode() + line[:-4])
             self.close()
             return
-        self._write((chunk(before) if before else b"") + chunk(line))
-        self._index = registry.version
-        for one in entries:
-            registry.on_written(one)
+        self._write((chunk(prefix) if prefix else b"") + chunk(line))
+        self._version_sent = registry.version
+        for changed_entry in entries:
+            registry.on_written(changed_entry)
 
     def _write(self, data: bytes) -> None:
         transport: Any = self.transport
-        transport.write(data if self._headed else RESPONSE_HEAD + data)
-        self._headed = True
+        transport.write(data if self._head_sent else RESPONSE_HEAD + data)
+        self._head_sent = True
 
     def close(self) -> None:
         transport: Any = self.transport
         transport.loseConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.place.open.pop(self, None)
+        self.discovery.connections.pop(self, None)
         self.registry.watches.pop(self, None)
-        if self._alive is not None and self._alive.active():
-            self._alive.cancel()
+        if self._keep_alive_timer is not None and self._keep_alive_timer.active():
+            self._keep_alive_timer.cancel()
 
 
 class Discovery(protocol.ServerFactory):
-    """One address of discovery."""
+    """One address at which discovery serves the list."""
 
     noisy = False
 
     def __init__(self, registry: Registry, reactor: Any) -> None:
-        self.registry, self._reactor, self.open = registry, reactor, dict[_Watched, None]()
+        self.registry, self._reactor, self.connections = registry, reactor, dict[_WatchConnection, None]()
         self._listener = reactor.listenTCP(0, self, interface="127.0.0.1")
         self.port: int = self._listener.getHost().port
 
-    def buildProtocol(self, addr: Any) -> _Watched:
-        return _Watched(self.registry, self)
+    def buildProtocol(self, addr: Any) -> _WatchConnection:
+        return _WatchConnection(self.registry, self)
 
-    def retire(self, after: float) -> None:
-        """Takes no new connection, and closes the open ones after so many seconds."""
+    def retire(self, delay: float) -> None:
+        """Stops accepting connections, and closes the open ones after `delay` seconds."""
         self._listener.stopListening()
-        self._reactor.callLater(after, self._close_all)
+        self._reactor.callLater(delay, self._close_all)
 
     def _close_all(self) -> None:
-        for watch in list(self.open):
+        for watch in list(self.connections):
             watch.close()
 
 
 class ProbePort(protocol.ServerFactory):
-    """Where a worker is probed. well: answers 200; else it accepts and says nothing."""
+    """The port at which a worker is probed.
+
+    healthy: whether probes are answered with 200; otherwise they are accepted and never answered.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Any) -> None:
-        self.well = True
+        self.healthy = True
         self._listener = reactor.listenTCP(0, self, interface="127.0.0.1")
         self.port: int = self._listener.getHost().port
 
     def buildProtocol(self, addr: Any) -> protocol.Protocol:
-        return _Probed(self)
+        return _ProbeConnection(self)
 
     def close(self) -> None:
         self._listener.stopListening()
 
 
-class _Probed(protocol.Protocol):
-    def __init__(self, worker: ProbePort) -> None:
-        self._worker = worker
+class _ProbeConnection(protocol.Protocol):
+    """One probe of a worker."""
+
+    def __init__(self, probe_port: ProbePort) -> None:
+        self._probe_port = probe_port
 
     def dataReceived(self, data: bytes) -> None:
-        if self._worker.well:
+        if self._probe_port.healthy:
             transport: Any = self.transport
             transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             transport.loseConnection()
@@ -236,7 +252,7 @@
 
 @attrs.frozen
 class ConfigMessage:
-    """One message of a manager to a proxy, its parts read."""
+    """A parsed message of a manager to a proxy, with all its parts."""
 
     rows: Mapping[str, float]
     replace: bool
@@ -246,49 +262,49 @@
     lines: Sequence[str]
 
     def names(self) -> set[str]:
-        """Every worker that it names."""
+        """All workers that the message names."""
         return {*self.rows, *self.drop, *self.undrop}
 
 
 def parse_config_message(lines: Sequence[str]) -> ConfigMessage:
-    """The parts of one message for one product. Raises ValueError or KeyError for what a proxy can't use."""
+    """Parses the parts of a message for one product. Raises ValueError or KeyError if a proxy can't use it."""
     rows, drop, undrop = dict[str, float](), list[str](), list[str]()
     replace, mark = False, None
     for line in lines:
         kind, *words = line.split(" ")
         if kind != "CONFIG":
-            raise ValueError(f"not an order: {line[:100]}")
-        said = dict(word.split("=", 1) for word in words)
-        replace = replace or said.get("replace") == "1"
-        pairs = (row.rsplit(":", 1) for row in said.get("rows", "").split(",") if row)
+            raise ValueError(f"not a CONFIG line: {line[:100]}")
+        fields = dict(field.split("=", 1) for field in words)
+        replace = replace or fields.get("replace") == "1"
+        pairs = (row.rsplit(":", 1) for row in fields.get("rows", "").split(",") if row)
         rows.update((name, float(weight)) for name, weight in pairs)
-        drop += [name for name in said.get("drop", "").split(",") if name]
-        undrop += [name for name in said.get("undrop", "").split(",") if name]
-        mark = int(said["stamp"]) if "stamp" in said else mark
+        drop += [name for name in fields.get("drop", "").split(",") if name]
+        undrop += [name for name in fields.get("undrop", "").split(",") if name]
+        mark = int(fields["stamp"]) if "stamp" in fields else mark
     return ConfigMessage(rows, replace, drop, undrop, mark, lines)
 
 
 class LineConnection(protocol.Protocol):
-    """A connection that reads lines. lost: told of its end."""
+    """A connection that exchanges lines."""
 
     def __init__(self) -> None:
-        self._rest, self.ended = b"", False
+        self._buffer, self.closed = b"", False
 
     def dataReceived(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
+        *lines, self._buffer = (self._buffer + data).split(b"\r\n")
         for line in lines:
-            self.line(line.decode())
+            self.line_received(line.decode())
 
-    def line(self, line: str) -> None:
-        """One line was read."""
+    def line_received(self, line: str) -> None:
+        """Called for each line that was read."""
 
     def send(self, *lines: str) -> None:
         transport: Any = self.transport
-        if not self.ended and transport is not None:
+        if not self.closed and transport is not None:
             transport.write("".join(line + "\r\n" for line in lines).encode())
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.ended = True
+        self.closed = True
 
     def abort(self) -> None:
         transport: Any = self.transport
@@ -297,7 +313,7 @@
 
 
 class ProxyStream(LineConnection):
-    """One stream of a proxy: joins, answers marks, and hands on what it is ordered."""
+    """One stream of a proxy: subscribes and passes complete messages on to the proxy."""
 
     def __init__(self, proxy: Proxy) -> None:
         super().__init__()
@@ -305,21 +321,21 @@
         self._parts = list[str]()
 
     def connectionMade(self) -> None:
-        self.proxy.opened(self)
+        self.proxy.stream_opened(self)
         fresh = int(not self.proxy.table)
         self.send(f"SUBSCRIBE proxy={self.proxy.number} zone=a weight=9 fresh={fresh}")
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         self._parts.append(line)
         if not line.endswith(" part=1"):
             parts, self._parts = [part.removesuffix(" part=1") for part in self._parts], []
-            self.proxy.ordered(self, parts)
+            self.proxy.message_received(self, parts)
 
-    def pause(self, on: bool) -> None:
-        """Whether it reads no more for now."""
+    def pause(self, paused: bool) -> None:
+        """Stops or resumes reading."""
         transport: Any = self.transport
-        self.paused = on
-        (transport.pauseProducing if on else transport.resumeProducing)()
+        self.paused = paused
+        (transport.pauseProducing if paused else transport.resumeProducing)()
 
     def half_close(self) -> None:
         transport: Any = self.transport
@@ -327,13 +343,13 @@
 
     def connectionLost(self, reason: Any = None) -> None:
         super().connectionLost(reason)
-        self.proxy.lost(self)
+        self.proxy.stream_lost(self)
 
 
 class Proxy:
-    """A plain proxy: holds the table and the withdrawals over its streams, and dials again when one ends.
+    """A plain proxy: keeps its table and withdrawals across streams, and reconnects when a stream ends.
 
-    heard: told of the proxy's events (opened, ordered, lost), by name with what they bring.
+    on_event: called with the event's name (opened, ordered, unreadable or lost), the proxy and a detail.
     """
 
     def __init__(
@@ -342,87 +358,96 @@
         reactor: Any,
         port: int,
         draw: Callable[[], float],
-        heard: Callable[[str, Proxy, Any], None],
+        on_event: Callable[[str, Proxy, Any], None],
     ) -> None:
-        self.number, self._reactor, self._port, self._draw, self._heard = number, reactor, port, draw, heard
-        self.table, self.shut_out = dict[str, float](), set[str]()
+        self.number, self._reactor, self._port, self._draw, self._on_event = (
+            number,
+            reactor,
+            port,
+            draw,
+            on_event,
+        )
+        self.table, self.withdrawn = dict[str, float](), set[str]()
         self.stream: ProxyStream | None = None
         self.stopped = False
 
-    def usable(self) -> set[str]:
-        return {name for name, weight in self.table.items() if weight > 0} - self.shut_out
+    def usable_workers(self) -> set[str]:
+        return {name for name, weight in self.table.items() if weight > 0} - self.withdrawn
 
-    def dial(self) -> None:
-        """One more stream, whether or not there is another."""
+    def connect(self) -> None:
+        """Opens a new stream, whether or not there is one already."""
         if self.stopped:
             return
         factory = protocol.ClientFactory()
         factory.noisy = False
         factory.buildProtocol = lambda addr: ProxyStream(self)  # type: ignore[method-assign]
-        factory.clientConnectionFailed = lambda *why: self._again()  # type: ignore[method-assign]
+        factory.clientConnectionFailed = lambda *reason: self._reconnect_later()  # type: ignore[method-assign]
         self._reactor.connectTCP("127.0.0.1", self._port, factory, timeout=2)
 
-    def _again(self) -> None:
-        self._reactor.callLater(0.1 + 0.4 * self._draw(), self._redial)
+    def _reconnect_later(self) -> None:
+        self._reactor.callLater(0.1 + 0.4 * self._draw(), self._reconnect)
 
-    def _redial(self) -> None:
+    def _reconnect(self) -> None:
         if self.stream is None:
-            self.dial()
+            self.connect()
 
-    def opened(self, stream: ProxyStream) -> None:
+    def stream_opened(self, stream: ProxyStream) -> None:
         self.stream = stream
-        self._heard("opened", self, None)
+        self._on_event("opened", self, None)
 
-    def ordered(self, stream: ProxyStream, parts: Sequence[str]) -> None:
+    def message_received(self, stream: ProxyStream, parts: Sequence[str]) -> None:
         if stream is not self.stream:
             return
         try:
-            order = parse_config_message(parts)
-        except (ValueError, KeyError) as trouble:
-            return self._heard("unreadable", self, f"{trouble} in {parts}")
+            message = parse_config_message(parts)
+        except (ValueError, KeyError) as error:
+            return self._on_event("unreadable", self, f"{error} in {parts}")
         self.table = {
             name: weight
-            for name, weight in {**({} if order.replace else self.table), **order.rows}.items()
+            for name, weight in {**({} if message.replace else self.table), **message.rows}.items()
             if weight > 0
         }
-        self.shut_out = (self.shut_out | set(order.drop)) - set(order.undrop)
-        if order.mark is not None:
-            stream.send(f"ACK proxy={self.number} mark={order.mark} took_ms=5")
-        self._heard("ordered", self, order)
+        self.withdrawn = (self.withdrawn | set(message.drop)) - set(message.undrop)
+        if message.mark is not None:
+            stream.send(f"ACK proxy={self.number} mark={message.mark} took_ms=5")
+        self._on_event("ordered", self, message)
 
-    def lost(self, stream: ProxyStream) -> None:
+    def stream_lost(self, stream: ProxyStream) -> None:
         if stream is self.stream:
             self.stream = None
-            self._heard("lost", self, None)
-            self._again()
+            self._on_event("lost", self, None)
+            self._reconnect_later()
 
 
 class UnidentifiedClient(LineConnection):
-    """Says something that is no joining. owed: hears in what time it was answered or closed."""
+    """A client that sends something other than a subscription.
+
+    on_answered: called with the seconds until the manager refused it or closed the connection.
+    """
 
-    def __init__(self, said: bytes, clock: Any, owed: Callable[[float], None]) -> None:
+    def __init__(self, sent: bytes, clock: Any, on_answered: Callable[[float], None]) -> None:
         super().__init__()
-        self._said, self._clock, self._owed = said, clock, owed
-        self._since, self._answered = clock.seconds(), False
+        self._sent, self._clock, self._on_answered = sent, clock, on_answered
+        self._opened_at, self._answered = clock.seconds(), False
 
     def connectionMade(self) -> None:
         transport: Any = self.transport
-        if self._said:
-            transport.write(self._said)
+        if self._sent:
+            transport.write(self._sent)
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         if line.startswith("NACK"):
-            self._done()
+            self._mark_answered()
 
     def connectionLost(self, reason: Any = None) -> None:
         super().connectionLost(reason)
-        self._done()
+        self._mark_answered()
 
-    def overdue(self, after: float = 10.0) -> bool:
-        """Whether nothing has come for so many seconds."""
-        return not self._answered and bool(self._clock.seconds() > self._since + after)
+    def is_overdue(self, limit: float = 10.0) -> bool:
+        """Whether it was neither refused nor closed within so many seconds."""
+        return not self._answered and bool(self._clock.seconds() > self._opened_at + limit)
 
-    def _done(self) -> None:
+    def _mark_answered(self) -> None:
         if not self._answered:
             self._answered = True
-            self._owed(self._clock.seconds() - self._since)
+            self._on_answered(self._clock.seconds() - self._opened_at)
--- a/rushladder/standins/resolvers.py
+++ b/rushladder/standins/resolvers.py
@@ -1,7 +1,8 @@
-"""A population of caching resolvers and the clients behind them: a few bring most of the txns (Zipf's law).
+"""Stand-in caching resolvers and the clients behind them; a few resolvers bring most txns (Zipf's law).
 
-Each resolver asks from an address of its own, keeps answers for their life, and asks once for all who wait.
-Clients go straight to the collectors that they were told of, by the weights of the SRV records.
+Each resolver queries from an address of its own, caches answers for their TTL, and sends one query for all
+clients that wait for it. Clients connect directly to the collectors of an answer, by the weights of its SRV
+records.
 """
 
 from __future__ import annotations
@@ -19,24 +20,28 @@
 from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
 from rushladder.runtime.grammar import Command
 from rushladder.standins.load_generator import RequestProfile
-from rushladder.standins.event_record import EventRecord
+from rushladder.standins.record import EventRecord
 
-PATIENCE = 0.3  # s for an answer before the next name server is asked
-TURNS = 4  # name servers asked for one question: each of two twice
-CONNECT_MOST = 0.3
+ANSWER_TIMEOUT = 0.3  # s to wait for an answer before the next name server is queried
+MAX_QUERIES = 4  # queries per question: with two name servers, each is asked twice
+CONNECT_TIMEOUT = 0.3
 
 
 @attrs.define
-class Kept:
-    """An answer: collectors with their weights and addresses, until when, and who gave it."""
+class CachedAnswer:
+    """A cached answer: collectors as (name, weight, address), its expiry, and the manager that gave it."""
 
     targets: list[tuple[str, int, str]]
-    until: float
+    expires_at: float
     front: str
 
 
 class Resolver(DatagramProtocol):
-    """fronts: name and port of each manager, the nearest first. ignores: keeps answers ten times as long."""
+    """One caching resolver.
+
+    fronts: name and port of each manager's DNS front, the nearest first.
+    ignores: whether it keeps answers for ten times their TTL.
+    """
 
     def __init__(
         self,
@@ -51,71 +56,79 @@
     ) -> None:
         self.name, self._region, self._zone, self._fronts = name, region, zone, list(fronts)
         self.ignores, self._random, self._reactor, self._record = ignores, random, reactor, record
-        self._kept, self._asking = dict[str, Kept](), dict[str, list[Deferred[Kept | None]]]()
-        self._sent = dict[int, tuple[str, str]]()
-
-    def find(self, product: str) -> Deferred[Kept | None]:
-        """What is kept, or what is answered; None if no name server names anyone."""
-        found: Deferred[Kept | None] = Deferred()
-        kept = self._kept.get(product)
-        if kept is not None and self._reactor.seconds() < kept.until:
-            found.callback(kept)
-        elif product in self._asking:
-            self._asking[product].append(found)
+        self._cache, self._waiting = (
+            dict[str, CachedAnswer](),
+            dict[str, list[Deferred[CachedAnswer | None]]](),
+        )
+        self._queries = dict[int, tuple[str, str]]()
+
+    def resolve(self, product: str) -> Deferred[CachedAnswer | None]:
+        """The cached or a new answer; None if no name server answers with a collector."""
+        result: Deferred[CachedAnswer | None] = Deferred()
+        cached = self._cache.get(product)
+        if cached is not None and self._reactor.seconds() < cached.expires_at:
+            result.callback(cached)
+        elif product in self._waiting:
+            self._waiting[product].append(result)
         else:
-            self._asking[product] = [found]
-            self._ask(product, 0)
-        return found
+            self._waiting[product] = [result]
+            self._query(product, 0)
+        return result
 
-    def _ask(self, product: str, turn: int) -> None:
-        if product not in self._asking:
+    def _query(self, product: str, attempt: int) -> None:
+        if product not in self._waiting:
             return
-        if turn >= TURNS:
+        if attempt >= MAX_QUERIES:
             self._record.log_event("unanswered", resolver=self.name, product=product)
-            for waiting in self._asking.pop(product):
-                waiting.callback(None)
+            for waiter in self._waiting.pop(product):
+                waiter.callback(None)
             return
-        front, port = self._fronts[turn % len(self._fronts)]
-        number = self._random.randrange(65_536)
-        self._sent[number] = product, front
-        message: Any = dns.Message(id=number)
+        front, port = self._fronts[attempt % len(self._fronts)]
+        query_id = self._random.randrange(65_536)
+        self._queries[query_id] = product, front
+        message: Any = dns.Message(id=query_id)
         message.queries = [dns.Query(f"_{product}._tcp.{self._region}.{self._zone}".encode(), dns.SRV)]
-        wire: Any = self.transport
-        wire.write(message.toStr(), ("127.0.0.1", port))
-        self._reactor.callLater(PATIENCE, self._ask_again, product, turn + 1, number)
+        transport: Any = self.transport
+        transport.write(message.toStr(), ("127.0.0.1", port))
+        self._reactor.callLater(ANSWER_TIMEOUT, self._query_again, product, attempt + 1, query_id)
 
-    def _ask_again(self, product: str, turn: int, number: int) -> None:
-        if self._sent.pop(number, None) is not None:
-            self._ask(product, turn)
+    def _query_again(self, product: str, attempt: int, query_id: int) -> None:
+        if self._queries.pop(query_id, None) is not None:
+            self._query(product, attempt)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         message: Any = dns.Message()
         message.fromStr(datagram)
-        product, front = self._sent.get(message.id, ("", ""))
-        if product not in self._asking or message.rCode or not message.answers:
-            return  # no answer that helps: the next is asked when patience ends
-        del self._sent[message.id]
-        where = {bytes(r.name.name): r.payload.dottedQuad() for r in message.additional if r.type == dns.A}
+        product, front = self._queries.get(message.id, ("", ""))
+        if product not in self._waiting or message.rCode or not message.answers:
+            return  # unusable: the next name server is queried after ANSWER_TIMEOUT
+        del self._queries[message.id]
+        addresses = {
+            bytes(record.name.name): record.payload.dottedQuad()
+            for record in message.additional
+            if record.type == dns.A
+        }
         targets = [
             (
-                r.payload.target.name.split(b".")[0].decode(),
-                r.payload.weight,
-                f"{where[bytes(r.payload.target.name)]}:{r.payload.port}",
+                record.payload.target.name.split(b".")[0].decode(),
+                record.payload.weight,
+                f"{addresses[bytes(record.payload.target.name)]}:{record.payload.port}",
             )
-            for r in message.answers
+            for record in message.answers
         ]
-        ttl = min(r.ttl for r in message.answers)
-        life = ttl * (10 if self.ignores else 1)
-        kept = self._kept[product] = Kept(targets, self._reactor.seconds() + life, front)
+        ttl = min(record.ttl for record in message.answers)
+        lifetime = ttl * (10 if self.ignores else 1)
+        cached = self._cache[product] = CachedAnswer(targets, self._reactor.seconds() + lifetime, front)
         self._record.log_event(
             "answered", resolver=self.name, product=product, front=front, ttl=ttl, names=targets
         )
-        for waiting in self._asking.pop(product):
-            waiting.callback(kept)
+        for waiter in self._waiting.pop(product):
+            waiter.callback(cached)
 
 
 class Population:
-    """`many` resolvers, the k-th of which brings a part like 1/k^zipf of `rate` txns a second."""
+    """The clients behind the resolvers: `rate` txns per second, the k-th resolver's share proportional to
+    1/k^zipf."""
 
     def __init__(
         self,
@@ -128,95 +141,107 @@
         record: EventRecord,
     ) -> None:
         self._asks, self._resolvers, self._rate = list(asks), list(resolvers), rate
-        self._parts = [1.0 / (k + 1) ** zipf for k in range(len(resolvers))]
+        self._shares = [1.0 / (k + 1) ** zipf for k in range(len(resolvers))]
         self._random, self._reactor, self._record = random, reactor, record
         pool = client.HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost = 64
         pool.retryAutomatically = False
-        self._agent = client.Agent(reactor, connectTimeout=CONNECT_MOST, pool=pool)
-        self.stopped, self._number = False, 0
+        self._agent = client.Agent(reactor, connectTimeout=CONNECT_TIMEOUT, pool=pool)
+        self.stopped, self._txn_count = False, 0
 
     def start(self) -> None:
-        self._reactor.callLater(self._random.expovariate(self._rate), self._come)
+        self._reactor.callLater(self._random.expovariate(self._rate), self._arrive)
 
-    def _come(self) -> None:
+    def _arrive(self) -> None:
         if self.stopped:
             return
         self.start()
         ask = self._random.choices(self._asks, [ask.share for ask in self._asks])[0]
-        resolver = self._random.choices(self._resolvers, self._parts)[0]
-        self._number += 1
+        resolver = self._random.choices(self._resolvers, self._shares)[0]
+        self._txn_count += 1
         work = ask.work * self._random.uniform(0.8, 1.2)
-        Deferred.fromCoroutine(self._txn(ask, resolver, f"{resolver.name}-{ask.name}-{self._number}", work))
+        Deferred.fromCoroutine(
+            self._txn(ask, resolver, f"{resolver.name}-{ask.name}-{self._txn_count}", work)
+        )
 
-    async def _txn(self, ask: RequestProfile, resolver: Resolver, name: str, work: float) -> None:
-        began = self._reactor.seconds()
-        until = began + ask.expiry
-        self._record.log_event("ask", id=name, product=ask.name)
+    async def _txn(self, ask: RequestProfile, resolver: Resolver, txn_id: str, work: float) -> None:
+        started = self._reactor.seconds()
+        deadline = started + ask.expiry
+        self._record.log_event("ask", id=txn_id, product=ask.name)
         code, tried = 503, set[str]()
-        # A client tries a second target only where the first may be repeated, and there is one.
-        for turn in range(2 if ask.repeats else 1):
-            kept = await resolver.find(ask.name)
-            some = [one for one in kept.targets if one[0] not in tried] if kept is not None else []
-            if kept is None or not some or self._reactor.seconds() >= until:
+        # A client tries a second target only if the txn may be repeated and an untried target is left.
+        for attempt in range(2 if ask.repeats else 1):
+            answer = await resolver.resolve(ask.name)
+            untried = (
+                [target for target in answer.targets if target[0] not in tried] if answer is not None else []
+            )
+            if answer is None or not untried or self._reactor.seconds() >= deadline:
                 break
-            server, _, address = self._random.choices(some, [max(1, one[1]) for one in some])[0]
+            server, _, address = self._random.choices(untried, [max(1, target[1]) for target in untried])[0]
             tried.add(server)
             self._record.log_event(
                 "try",
-                id=name,
+                id=txn_id,
                 product=ask.name,
                 server=server,
-                number=turn + 1,
+                number=attempt + 1,
                 resolver=resolver.name,
-                front=kept.front,
+                front=answer.front,
                 ignores=resolver.ignores,
                 region=resolver._region,
             )
-            code = await self._once(ask, name, work, address, until)
+            code = await self._attempt(ask, txn_id, work, address, deadline)
             if code < 500:
                 break
-        took = round(self._reactor.seconds() - began, 4)
-        self._record.log_event("told", id=name, product=ask.name, code=code, took=took)
-
-    async def _once(self, ask: RequestProfile, name: str, work: float, address: str, until: float) -> int:
-        left = until - self._reactor.seconds()
-        url = f"http://{address}/{ask.name}/{name}?work={1000 * work:.1f}&left={1000 * left:.1f}"
+        duration = round(self._reactor.seconds() - started, 4)
+        self._record.log_event("told", id=txn_id, product=ask.name, code=code, took=duration)
+
+    async def _attempt(
+        self, ask: RequestProfile, txn_id: str, work: float, address: str, deadline: float
+    ) -> int:
+        time_left = deadline - self._reactor.seconds()
+        url = f"http://{address}/{ask.name}/{txn_id}?work={1000 * work:.1f}&left={1000 * time_left:.1f}"
         try:
-            asked: Deferred[Any] = self._agent.request(b"GET", url.encode())
-            response = await asked.addTimeout(left, self._reactor)
-            reading: Deferred[Any] = client.readBody(response)
-            await reading.addTimeout(max(0.01, until - self._reactor.seconds()), self._reactor)
+            request: Deferred[Any] = self._agent.request(b"GET", url.encode())
+            response = await request.addTimeout(time_left, self._reactor)
+            body: Deferred[Any] = client.readBody(response)
+            await body.addTimeout(max(0.01, deadline - self._reactor.seconds()), self._reactor)
             return int(response.code)
-        except Exception:  # refused, broken or too late: all the same to a client
+        except Exception:  # refused, broken or too late: clients don't distinguish them
             return 599
 
 
-def serve(what: dict[str, Any], reactor: Any, record: EventRecord) -> None:
-    """what: asks, many, zipf, rate, seed, region, zone, fronts, ignore, first (of the addresses), control."""
-    random = Random(what["seed"])
+def serve(config: dict[str, Any], reactor: Any, record: EventRecord) -> None:
+    """Runs a population of resolvers and its control socket.
+
+    config: asks, many, zipf, rate, seed, region, zone, fronts, ignore, first (number of the first address),
+    control.
+    """
+    random = Random(config["seed"])
     resolvers = list[Resolver]()
-    for k in range(what["many"]):
+    for k in range(config["many"]):
         resolver = Resolver(
-            f"{what['who']}-{k + 1}",
-            what["region"],
-            what["zone"],
-            [(name, port) for name, port in what["fronts"]],
-            k >= what["many"] - what["ignore"],
+            f"{config['who']}-{k + 1}",
+            config["region"],
+            config["zone"],
+            [(name, port) for name, port in config["fronts"]],
+            k >= config["many"] - config["ignore"],
             random,
             reactor,
             record,
         )
-        place = what["first"] + k
-        reactor.listenUDP(0, resolver, interface=f"127.0.{2 + place // 250}.{1 + place % 250}")
+        address_number = config["first"] + k
+        reactor.listenUDP(
+            0, resolver, interface=f"127.0.{2 + address_number // 250}.{1 + address_number % 250}"
+        )
         resolvers.append(resolver)
-    asks = [RequestProfile(**ask) for ask in what["asks"]]
-    population = Population(asks, resolvers, what["zipf"], what["rate"], random, reactor, record)
+    asks = [RequestProfile(**ask) for ask in config["asks"]]
+    population = Population(asks, resolvers, config["zipf"], config["rate"], random, reactor, record)
 
     def stop(command: Command, level: Level) -> str:
         population.stopped = True
         return ""
 
-    verbs = CommandTable([CommandSpec(("stop",), Level.ADMIN, "stop", stop)])
-    reactor.listenUNIX(what["control"], RuntimeFactory(verbs, Level.ADMIN, reactor))
+    commands = CommandTable([CommandSpec(("stop",), Level.ADMIN, "stop", stop)])
+    reactor.listenUNIX(config["control"], RuntimeFactory(commands, Level.ADMIN, reactor))
     population.start()
--- a/rushladder/trials/crashes.py
+++ b/rushladder/trials/crashes.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rushladder.standins.simulated_folder import Entries, SimulatedFolder, PowerCut, Tail
+from rushladder.standins.folder import Entries, SimulatedFolder, PowerCut, Tail
 from rushladder.store.log import Key, Log
 
 FLEET, MANAGER, MINORS = "fleet", "m1", {1: 0, 2: 0, 3: 0}
--- a/rushladder/trials/runner.py
+++ b/rushladder/trials/runner.py
@@ -17,7 +17,7 @@
 from rushladder.conf.grammar import Address
 from rushladder.runtime.client import send_commands
 from rushladder.runtime.grammar import Command, parse_fields, split_commands
-from rushladder.standins.event_record import EventRecord
+from rushladder.standins.record import EventRecord
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
 from rushladder.store.memory import MINORS, Kind, fleet_id
--- a/rushladder/trials/soak.py
+++ b/rushladder/trials/soak.py
@@ -80,7 +80,7 @@
     def connectionMade(self) -> None:
         self.send("PING")
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         if line == "PONG":
             self._heard()
         self.abort()
@@ -266,7 +266,7 @@
         if what in ("drain", "gone", "sick") and len(ready) > WORKERS // 3:
             name = self._random.choice(ready)
             if what == "sick":
-                self._workers[name].well = False
+                self._workers[name].healthy = False
                 return
             state = "draining" if what == "drain" else "gone"
             self._change(entry(name, self._workers[name].port, state))
@@ -293,7 +293,7 @@
     def _change(self, one: dict[str, Any]) -> None:
         fault = self._random.random()
         before = b'{"version":1,"full":false,"ser\n' if fault < 0.1 else b""
-        self._registry.change(one, before=before, cut=0.1 <= fault < 0.2)
+        self._registry.change(one, prefix=before, truncate=0.1 <= fault < 0.2)
 
     # Streams, strangers, reports.
 
@@ -320,12 +320,12 @@
         elif what == "half":
             stream.half_close()
         elif what == "twice":
-            proxy.dial()
+            proxy.connect()
         else:
             stream.abort()
 
     def _resume(self, proxy: Proxy, stream: ProxyStream) -> None:
-        if proxy.stream is stream and not stream.ended:
+        if proxy.stream is stream and not stream.closed:
             self._judge.joined(self._now(), proxy.number)
             stream.pause(False)
 
@@ -354,7 +354,7 @@
         for _ in range(STRANGERS_IN_CROWD):
             self._stranger(self._random.choice(GARBAGE[:3]))
         for proxy in self._proxies:
-            proxy.dial()
+            proxy.connect()
 
     def _connect_collector(self) -> None:
         factory = protocol.ClientFactory()
@@ -370,7 +370,7 @@
                 *(
                     f"LOAD zone=a server={name} tries=20 failed=0 mean_ms=50 span_ms=1000"
                     for name in self._registry.entries
-                    if self._workers[name].well
+                    if self._workers[name].healthy
                 )
             )
         for proxy in self._proxies:
@@ -385,8 +385,8 @@
         self._due = self._now()
         for proxy in self._proxies:
             if proxy.stream is not None:
-                self._judge.holds(self._now(), proxy.number, proxy.usable())
-        overdue = [stranger for stranger in self._strangers if stranger.overdue()]
+                self._judge.holds(self._now(), proxy.number, proxy.usable_workers())
+        overdue = [stranger for stranger in self._strangers if stranger.is_overdue()]
         for stranger in overdue:
             said = self._strangers.pop(stranger)
             self._judge.stranger(self._now(), said, float("inf"))
@@ -399,7 +399,7 @@
             yield draw.uniform(1, length - 1), self._worker_event, ()
             yield draw.uniform(1, length - 1), self._stream_event, ()
             yield draw.uniform(1, length - 1), self._stranger, (draw.choice(GARBAGE),)
-        yield draw.uniform(1, length), self._registry.fall_silent, (draw.uniform(0.5, 5),)
+        yield draw.uniform(1, length), self._registry.suspend_updates, (draw.uniform(0.5, 5),)
         for part in (0.25, 0.6):  # series of signals: room for a start after each
             which = draw.choice(SIGNALS)
             step = self._restart_in_start if "start" in which else self._series
@@ -410,7 +410,7 @@
     async def play(self) -> Verdict:
         self._start()
         for proxy in self._proxies:
-            proxy.dial()
+            proxy.connect()
         self._due = self._now()
         look = task.LoopingCall(self._look)
         look.clock = self._reactor
@@ -454,7 +454,7 @@
 
     def _last_look(self) -> None:
         now = self._now()
-        self._judge.watched(now, any(watch.place is self._discovery for watch in self._registry.watches))
+        self._judge.watched(now, any(watch.discovery is self._discovery for watch in self._registry.watches))
         if self._process is not None:
             descriptors = len(os.listdir(f"/proc/{self._process.pid}/fd"))
             pages = int(Path(f"/proc/{self._process.pid}/statm").read_text().split()[1])
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
 from rushladder.service.persistence import Persistence
-from rushladder.standins.simulated_folder import Entries, SimulatedFolder, Tail
+from rushladder.standins.folder import Entries, SimulatedFolder, Tail
 from rushladder.store.commands import Effect, Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,7 +19,7 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.task import Clock
 
-from rushladder.standins.simulated_folder import Entries, SimulatedFolder, Tail
+from rushladder.standins.folder import Entries, SimulatedFolder, Tail
 from rushladder.store.files import Disk, FolderLocked
 from rushladder.store.frames import BODY, HEAD, Damage, Record, encode_frame, decode_frames
 from rushladder.store.log import ASIDE, Log, Migrations, IncompatibleStore, file_number
