--- a/rushladder/standins/platform.py
+++ b/rushladder/standins/platform.py
@@ -267,7 +267,7 @@
 
 
 def parse_config_message(lines: Sequence[str]) -> ConfigMessage:
-    """Parses the parts of a message for one product. Raises ValueError or KeyError if a proxy can't use it."""
+    """Parses the parts of a message for one product. Raises ValueError or KeyError if it is unusable."""
     rows, drop, undrop = dict[str, float](), list[str](), list[str]()
     replace, mark = False, None
     for line in lines:
--- a/rushladder/trials/__init__.py
+++ b/rushladder/trials/__init__.py
@@ -1,2 +1,2 @@
-"""Whole-path trials: days written down, real processes on loopback, and a judge who reads only what
+"""End-to-end trials: written scenario days, played with real processes on loopback, and judged solely by what
 crossed the sockets."""
--- a/rushladder/trials/charts.py
+++ b/rushladder/trials/charts.py
@@ -14,8 +14,8 @@
 from rushladder.trials.judge import Verdict
 
 
-def draw(day: Day, verdict: Verdict, folder: Path, other: Verdict | None = None) -> list[Path]:
-    """Writes the charts to the folder and returns their paths; `other` is the same day without managers."""
+def draw(day: Day, verdict: Verdict, folder: Path, unmanaged: Verdict | None = None) -> list[Path]:
+    """Writes the charts to the folder and returns their paths; `unmanaged`: the same day without managers."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = list[Path]()
     for title, prefix, ylabel in (
@@ -28,12 +28,14 @@
         plotted = False
         for name, points in verdict.series.items():
             if name.startswith(prefix) and points:
-                _line(axes, points, name.removeprefix(prefix) or "managed", day.length, title != "service")
+                _plot_line(
+                    axes, points, name.removeprefix(prefix) or "managed", day.length, title != "service"
+                )
                 plotted = True
-        if title == "service" and other is not None:
-            _line(axes, other.series["service"], "standing tables", day.length, False)
-        for happening in day.events:
-            axes.axvline(happening.at, color="0.8", linewidth=0.8, zorder=0)
+        if title == "service" and unmanaged is not None:
+            _plot_line(axes, unmanaged.series["service"], "standing tables", day.length, False)
+        for event in day.events:
+            axes.axvline(event.at, color="0.8", linewidth=0.8, zorder=0)
         axes.set(
             xlabel="second of the day", ylabel=ylabel, title=f"{day.name}: {title}", xlim=(0, day.length)
         )
@@ -45,7 +47,7 @@
     return paths
 
 
-def _line(axes: Any, points: list[tuple[float, float]], label: str, length: float, steps: bool) -> None:
+def _plot_line(axes: Any, points: list[tuple[float, float]], label: str, length: float, steps: bool) -> None:
     xs, ys = [at for at, _ in points], [value for _, value in points]
     axes.plot(
         [*xs, length] if steps else xs,
--- a/rushladder/trials/day.py
+++ b/rushladder/trials/day.py
@@ -1,14 +1,14 @@
-"""A day as it is written down: who takes part, and what happens when, to whom. Text in, objects out.
+"""The format of a day file: the nodes and products of a trial, and the events that happen to them.
 
     day NAME                        one section: `length TIME`, `seed N`, `load RATE/s`, `plan LINE...`,
                                     `memory none|kept|wrong`
-    product NAME                    the manager's directives, and `share PART`, `work TIME`
+    product NAME                    directives of the manager's configuration, and `share PART`, `work TIME`
     manager NAME / gateway NAME     `region NAME`
     collector NAME                  `region NAME`, `cores N`, `speed X`, `size X`, `model NAME`, `absent`
     resolvers NAME                  a population: `region NAME`, `many N`, `zipf X`, `load RATE/s`, `ignore N`
     events                          lines of `at TIME WHO NAMES WHAT ... [for TIME]`
 
-`plan` lines go into every manager's section as they are.
+`plan` lines are copied verbatim into every manager's section.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 )
 
 PER_S = 1000 * PER_MS
-# What managers remember over a restart: the list alone; what they learned; or that too, and at the day's
-# start what was learned a day ago in a fleet whose fast ones were slow.
-MEMORIES = {how: how for how in ("none", "kept", "wrong")}
-REPORTS = {how: how for how in ("true", "idle", "stuck", "flood")}
+# What managers remember across restarts: the list alone (none); also what they learned (kept); or that too,
+# and the day starts with day-old memories of a fleet in which the fast collectors were slow (wrong).
+MEMORIES = {mode: mode for mode in ("none", "kept", "wrong")}
+REPORTS = {mode: mode for mode in ("true", "idle", "stuck", "flood")}
 SECTIONS = ("day", "product", "manager", "gateway", "collector", "resolvers", "events")
-# Who -> what can happen to it -> how many arguments, and whether it ends by itself with `for`.
-EVENTS: dict[str, dict[str, tuple[int, bool]]] = {
+# Target kind -> action -> number of arguments, and whether the action may be limited with `for TIME`.
+EVENT_ACTIONS: dict[str, dict[str, tuple[int, bool]]] = {
     "load": {
         "times": (1, True),
         "heavy": (2, True),
@@ -75,17 +75,17 @@
 }
 
 
-def seconds(word: str) -> float:
-    """A time with its unit, in seconds; raises Unreadable."""
-    return duration(word) / PER_S
+def seconds(text: str) -> float:
+    """A time with its unit, in seconds; raises InvalidValue."""
+    return duration(text) / PER_S
 
 
 @attrs.frozen
 class ProductSpec:
-    """A product: the manager's own directives as written, and how clients ask for it (seconds)."""
+    """A product: its directives in the manager's configuration, and how clients request it (seconds)."""
 
     name: str
-    lines: tuple[tuple[str, ...], ...]
+    directives: tuple[tuple[str, ...], ...]
     share: float
     work: float
     sla: float
@@ -96,7 +96,9 @@
 
 
 @attrs.frozen
-class Site:
+class NodeSpec:
+    """A manager, gateway or collector of the day; cores to reports are of collectors alone."""
+
     name: str
     region: str
     cores: int = 4
@@ -104,17 +106,17 @@
     size: float = 1.0
     model: str = "any"
     absent: bool = False
-    reports: str = ""  # how it tells of its load: true, idle, stuck or flood
+    reports: str = ""  # how it reports its load: true, idle, stuck or flood; empty: not at all
 
 
 @attrs.frozen
 class ResolverPopulation:
-    """Resolvers of a region, the k-th of which brings a part like 1/k^zipf of the load; the last `ignore`
-    of them keep answers ten times as long as they may."""
+    """Resolvers of a region. The k-th one's share of the load is proportional to 1/k^zipf; the last `ignore`
+    of them keep answers for ten times their TTL."""
 
     name: str
     region: str
-    many: int
+    count: int
     zipf: float
     load: float
     ignore: int
@@ -122,28 +124,30 @@
 
 @attrs.frozen
 class Event:
-    """At a second of the day, something happens to some of a kind, for some seconds or for good (0)."""
+    """An action on targets of one kind, at a second of the day, for `duration` seconds or for good (0)."""
 
     at: float
-    who: str
-    names: tuple[str, ...]
-    what: str
+    target_kind: str
+    targets: tuple[str, ...]
+    action: str
     arguments: tuple[str, ...]
-    lasts: float
+    duration: float
     line: int
 
 
 @attrs.frozen
 class Day:
+    """A parsed day file; times in seconds."""
+
     name: str
     length: float
     seed: int
     load: float
     plan: tuple[tuple[str, ...], ...]
     products: tuple[ProductSpec, ...]
-    managers: tuple[Site, ...]
-    gateways: tuple[Site, ...]
-    collectors: tuple[Site, ...]
+    managers: tuple[NodeSpec, ...]
+    gateways: tuple[NodeSpec, ...]
+    collectors: tuple[NodeSpec, ...]
     events: tuple[Event, ...]
     resolvers: tuple[ResolverPopulation, ...] = ()
     dns: tuple[tuple[str, ...], ...] = ()  # lines of every manager's dns section
@@ -151,62 +155,65 @@
 
     @property
     def regions(self) -> tuple[str, ...]:
+        """The regions of all nodes, in order of appearance."""
         return tuple(
-            dict.fromkeys(site.region for site in (*self.managers, *self.gateways, *self.collectors))
+            dict.fromkeys(node.region for node in (*self.managers, *self.gateways, *self.collectors))
         )
 
-    def figure(self, directive: str, option: str = "", otherwise: str = "") -> str:
-        """An argument of a plan line: the first, or the one behind an option's keyword."""
+    def plan_value(self, directive: str, option: str = "", default: str = "") -> str:
+        """An argument of a plan line: the first one, or the one after the option's keyword."""
         for words in self.plan:
             if words[0] == directive:
                 return words[words.index(option) + 1] if option and option in words else words[1]
-        return otherwise
+        return default
 
 
 def read_day(text: str, file: str) -> Day:
-    """Raises Faulty with every fault as file:line."""
-    faults, sections = list[Diagnostic](), list[tuple[Line, list[Line]]]()
+    """Parses a day file. Raises InvalidConfig with every error as file:line."""
+    errors, sections = list[Diagnostic](), list[tuple[Line, list[Line]]]()
     raw = text.splitlines()
-    for line in read_lines(text, file, faults):
+    for line in read_lines(text, file, errors):
         if line.words[0] in SECTIONS and not raw[line.number - 1][:1].isspace():
             sections.append((line, []))
         elif sections:
             sections[-1][1].append(line)
         else:
-            faults.append(
+            errors.append(
                 Diagnostic(
                     file, line.number, f"stands outside of a section; {', '.join(SECTIONS)} are allowed"
                 )
             )
-    made = _Made(file, faults)
+    builder = _DayBuilder(file, errors)
     for head, lines in sections:
-        made.section(head, lines)
-    if "length" not in made.facts and not faults:
-        faults.append(Diagnostic(file, 1, "no day section with a length; one is needed"))
-    if faults:
-        raise InvalidConfig(faults)
-    return made.day()
-
-
-class _Made:
-    def __init__(self, file: str, faults: list[Diagnostic]) -> None:
-        self._file, self._faults = file, faults
-        self.facts: dict[str, str] = {}
+        builder.section(head, lines)
+    if "length" not in builder.values and not errors:
+        errors.append(Diagnostic(file, 1, "no day section with a length; one is required"))
+    if errors:
+        raise InvalidConfig(errors)
+    return builder.day()
+
+
+class _DayBuilder:
+    """Collects the sections of a day file and the errors found in them."""
+
+    def __init__(self, file: str, errors: list[Diagnostic]) -> None:
+        self._file, self._errors = file, errors
+        self.values: dict[str, str] = {}
         self.plan, self.dns = list[tuple[str, ...]](), list[tuple[str, ...]]()
         self.resolvers = list[ResolverPopulation]()
-        self.sites: dict[str, list[Site]] = {"manager": [], "gateway": [], "collector": []}
+        self.nodes: dict[str, list[NodeSpec]] = {"manager": [], "gateway": [], "collector": []}
         self.products, self.events = list[ProductSpec](), list[Event]()
 
-    def fault(self, line: Line, what: str) -> None:
-        self._faults.append(Diagnostic(self._file, line.number, what))
+    def add_error(self, line: Line, message: str) -> None:
+        self._errors.append(Diagnostic(self._file, line.number, message))
 
     def section(self, head: Line, lines: Sequence[Line]) -> None:
         kind = head.words[0]
         if len(head.words) != (1 if kind == "events" else 2):
-            return self.fault(head, f"'{kind}' takes {'no name' if kind == 'events' else 'one name'}")
+            return self.add_error(head, f"'{kind}' takes {'no name' if kind == 'events' else 'one name'}")
         try:
             if kind == "day":
-                self.facts["name"] = name(head.words[1])
+                self.values["name"] = name(head.words[1])
                 for line in lines:
                     self._day(line)
             elif kind == "events":
@@ -217,11 +224,9 @@
             elif kind == "product":
                 self._product(head.words[1], lines)
             else:
-                self._site(kind, head.words[1], lines)
-        except (InvalidValue, IndexError, KeyError) as trouble:
-            self.fault(
-                head, f"{kind}: {trouble if isinstance(trouble, InvalidValue) else f'lacks {trouble}'}"
-            )
+                self._node(kind, head.words[1], lines)
+        except (InvalidValue, IndexError, KeyError) as error:
+            self.add_error(head, f"{kind}: {error if isinstance(error, InvalidValue) else f'lacks {error}'}")
 
     def _day(self, line: Line) -> None:
         if line.words[0] == "plan":
@@ -229,70 +234,70 @@
         elif line.words[0] == "dns":
             self.dns.append(line.words[1:])
         elif line.words[0] == "memory" and len(line.words) == 2:
-            self.facts["memory"] = one_of(MEMORIES)(line.words[1])
+            self.values["memory"] = one_of(MEMORIES)(line.words[1])
         elif line.words[0] in ("length", "seed", "load") and len(line.words) == 2:
-            self.facts[line.words[0]] = line.words[1]
+            self.values[line.words[0]] = line.words[1]
         else:
-            self.fault(
+            self.add_error(
                 line,
-                f"'{line.words[0]}' can't stand here; length, seed, load, memory, plan and dns are allowed",
+                f"'{line.words[0]}' is unknown here; length, seed, load, memory, plan and dns are allowed",
             )
 
     def _product(self, title: str, lines: Sequence[Line]) -> None:
-        said = {line.words[0]: line.words[1:] for line in lines}
-        own = tuple(line.words for line in lines if line.words[0] not in ("share", "work"))
+        options = {line.words[0]: line.words[1:] for line in lines}
+        directives = tuple(line.words for line in lines if line.words[0] not in ("share", "work"))
         self.products.append(
             ProductSpec(
                 name(title),
-                own,
-                percentage(said["share"][0]),
-                duration(said["work"][0]) / PER_S,
-                duration(said["sla"][0]) / PER_S,
-                duration(said["expiry"][0]) / PER_S,
-                float(said["revenue"][0]),
-                percentage(said.get("late", ("0%",))[0]),
-                said["repeat"][0],
+                directives,
+                percentage(options["share"][0]),
+                duration(options["work"][0]) / PER_S,
+                duration(options["sla"][0]) / PER_S,
+                duration(options["expiry"][0]) / PER_S,
+                float(options["revenue"][0]),
+                percentage(options.get("late", ("0%",))[0]),
+                options["repeat"][0],
             )
         )
 
     def _population(self, title: str, lines: Sequence[Line]) -> None:
-        said = {line.words[0]: (*line.words[1:], "") for line in lines}
+        options = {line.words[0]: (*line.words[1:], "") for line in lines}
         for line in lines:
             if line.words[0] not in ("region", "many", "zipf", "load", "ignore"):
-                self.fault(
+                self.add_error(
                     line,
-                    f"'{line.words[0]}' can't stand here; region, many, zipf, load and ignore are allowed",
+                    f"'{line.words[0]}' is unknown here; region, many, zipf, load and ignore are allowed",
                 )
         self.resolvers.append(
             ResolverPopulation(
                 name(title),
-                name(said["region"][0]),
-                integer(1, 500)(said["many"][0]),
-                number(0, 5)(said.get("zipf", ("1",))[0]),
-                number(0.1, 1e5, "/s")(said["load"][0]),
-                integer(0, 500)(said.get("ignore", ("0",))[0]),
+                name(options["region"][0]),
+                integer(1, 500)(options["many"][0]),
+                number(0, 5)(options.get("zipf", ("1",))[0]),
+                number(0.1, 1e5, "/s")(options["load"][0]),
+                integer(0, 500)(options.get("ignore", ("0",))[0]),
             )
         )
 
-    def _site(self, kind: str, title: str, lines: Sequence[Line]) -> None:
-        said = {line.words[0]: (*line.words[1:], "") for line in lines}
+    def _node(self, kind: str, title: str, lines: Sequence[Line]) -> None:
+        options = {line.words[0]: (*line.words[1:], "") for line in lines}
         for line in lines:
             if line.words[0] not in ("region", "cores", "speed", "size", "model", "absent", "reports"):
-                self.fault(
+                self.add_error(
                     line,
-                    f"'{line.words[0]}' can't stand here; region, cores, speed, size, model and absent "
+                    f"'{line.words[0]}' is unknown here; region, cores, speed, size, model and absent "
                     "are allowed",
                 )
-        self.sites[kind].append(
-            Site(
+        self.nodes[kind].append(
+            NodeSpec(
                 name(title),
-                name(said["region"][0]),
-                integer(1, 1000)(said.get("cores", ("4",))[0]),
-                number(0.01, 100)(said.get("speed", ("1",))[0]),
-                number(0.01, 100)(said.get("size", ("1",))[0]),
-                name(said.get("model", ("any",))[0]),
-                "absent" in said,
-                one_of(REPORTS)(said["reports"][0]) if "reports" in said else "",
+                name(options["region"][0]),
+                integer(1, 1000)(options.get("cores", ("4",))[0]),
+                number(0.01, 100)(options.get("speed", ("1",))[0]),
+                number(0.01, 100)(options.get("size", ("1",))[0]),
+                name(options.get("model", ("any",))[0]),
+                "absent" in options,
+                one_of(REPORTS)(options["reports"][0]) if "reports" in options else "",
             )
         )
 
@@ -300,42 +305,49 @@
         words = list(line.words)
         try:
             if words[0] != "at":
-                raise InvalidValue(f"'{words[0]}' opens no event; 'at TIME WHO NAMES WHAT' is allowed")
-            at, who = duration(words[1]) / PER_S, words[2]
-            if who not in EVENTS:
-                raise InvalidValue(f"'{who}' is unknown; {', '.join(EVENTS)} are allowed")
-            names = tuple(words[3].split(",")) if who != "load" else ()
-            rest = words[3:] if who == "load" else words[4:]
-            if not rest or rest[0] not in EVENTS[who]:
-                raise InvalidValue(f"what happens is unknown; {', '.join(EVENTS[who])} can happen to a {who}")
-            many, ends = EVENTS[who][rest[0]]
-            arguments, tail = tuple(rest[1 : 1 + many]), rest[1 + many :]
-            if len(arguments) < many or (tail and (not ends or tail[0] != "for" or len(tail) != 2)):
+                raise InvalidValue(f"'{words[0]}' starts no event; 'at TIME WHO NAMES WHAT' is allowed")
+            at, target_kind = duration(words[1]) / PER_S, words[2]
+            if target_kind not in EVENT_ACTIONS:
+                raise InvalidValue(f"'{target_kind}' is unknown; {', '.join(EVENT_ACTIONS)} are allowed")
+            targets = tuple(words[3].split(",")) if target_kind != "load" else ()
+            parts = words[3:] if target_kind == "load" else words[4:]
+            if not parts or parts[0] not in EVENT_ACTIONS[target_kind]:
+                raise InvalidValue(
+                    f"unknown action; {', '.join(EVENT_ACTIONS[target_kind])} are allowed for {target_kind}"
+                )
+            arity, may_end = EVENT_ACTIONS[target_kind][parts[0]]
+            arguments, duration_words = (
+                tuple(parts[1 : 1 + arity]),
+                parts[1 + arity :],
+            )
+            if len(arguments) < arity or (
+                duration_words and (not may_end or duration_words[0] != "for" or len(duration_words) != 2)
+            ):
                 raise InvalidValue(
-                    f"'{rest[0]}' takes {many} argument(s){' and may end: for TIME' if ends else ''}"
+                    f"'{parts[0]}' takes {arity} argument(s){' and may end: for TIME' if may_end else ''}"
                 )
-            lasts = duration(tail[1]) / PER_S if tail else 0.0
-        except InvalidValue as trouble:
-            return self.fault(line, str(trouble))
+            event_duration = duration(duration_words[1]) / PER_S if duration_words else 0.0
+        except InvalidValue as error:
+            return self.add_error(line, str(error))
         except IndexError:
-            return self.fault(
+            return self.add_error(
                 line, "the event is cut off; 'at TIME WHO NAMES WHAT ... [for TIME]' is allowed"
             )
-        self.events.append(Event(at, who, names, rest[0], arguments, lasts, line.number))
+        self.events.append(Event(at, target_kind, targets, parts[0], arguments, event_duration, line.number))
 
     def day(self) -> Day:
         return Day(
-            self.facts["name"],
-            duration(self.facts["length"]) / PER_S,
-            int(self.facts.get("seed", "1")),
-            number(0.1, 1e5, "/s")(self.facts.get("load", "30/s")),
+            self.values["name"],
+            duration(self.values["length"]) / PER_S,
+            int(self.values.get("seed", "1")),
+            number(0.1, 1e5, "/s")(self.values.get("load", "30/s")),
             tuple(self.plan),
             tuple(self.products),
-            tuple(self.sites["manager"]),
-            tuple(self.sites["gateway"]),
-            tuple(self.sites["collector"]),
-            tuple(sorted(self.events, key=lambda one: one.at)),
+            tuple(self.nodes["manager"]),
+            tuple(self.nodes["gateway"]),
+            tuple(self.nodes["collector"]),
+            tuple(sorted(self.events, key=lambda event: event.at)),
             tuple(self.resolvers),
             tuple(self.dns),
-            self.facts.get("memory", "none"),
+            self.values.get("memory", "none"),
         )
--- a/rushladder/trials/judge.py
+++ b/rushladder/trials/judge.py
@@ -1,7 +1,7 @@
-"""Judges a day from its records alone: the five rules, and the service by the brief's account.
+"""Judges a day solely by its records: five rules, and the service as the platform's specification counts it.
 
-Read are what crossed the gateways' runtime sockets, the tries that they sent, what collectors ran, and what
-managers were told and answered. Nothing is asked of a manager.
+The records hold what crossed the gateways' runtime sockets, the tries that gateways sent, the txns that
+collectors ran, and the commands and answers of managers. No manager is asked for its view.
 """
 
 from __future__ import annotations
@@ -16,57 +16,59 @@
 
 from rushladder.trials.day import Day, seconds
 
-WROTE = "proc.rushladder_wrote"
+WROTE_VARIABLE = "proc.rushladder_wrote"  # set on a gateway at the end of each message of a manager
 
 
 @attrs.frozen
 class Violation:
-    """A broken rule: which, when (second of the day), where, and the record behind it."""
+    """A broken rule: its number, when (second of the day), where, and the evidence."""
 
     rule: int
     at: float
     where: str
-    what: str
+    detail: str
 
     def __str__(self) -> str:
-        return f"rule {self.rule} broken at {self.at:.2f} s, {self.where}: {self.what}"
+        return f"rule {self.rule} broken at {self.at:.2f} s, {self.where}: {self.detail}"
 
 
 @attrs.define
 class Verdict:
+    """The result of a day: violations, the share of revenue that was served, and series for charts."""
+
     violations: list[Violation]
     service: float
     by_product: dict[str, float]
     declined: float
     messages: int
     txns: int
-    dns_error: float = 0.0  # of DNS clients' load against the weights, where there are any
+    dns_error: float = 0.0  # of the DNS clients' load against the weights; 0 without DNS clients
     series: dict[str, list[tuple[float, float]]] = attrs.field(factory=dict)
 
     def text(self) -> str:
         lines = []
-        names = {
+        titles = {
             1: "no gateway without a collector",
-            2: "no effect twice",
-            3: "drains kept",
-            4: "no cold collector pushed over",
-            5: "channel and message cap kept",
+            2: "no once-only effect repeated",
+            3: "drains respected",
+            4: "no cold collector overloaded",
+            5: "channel and message limits kept",
         }
-        for rule, title in names.items():
-            found = [one for one in self.violations if one.rule == rule]
+        for rule, title in titles.items():
+            found = [violation for violation in self.violations if violation.rule == rule]
             lines.append(f"rule {rule} {'BROKEN' if found else 'kept  '} {title}")
-            lines += [f"    {one}" for one in found[:5]]
-        by = ", ".join(f"{name} {share:.3f}" for name, share in self.by_product.items())
+            lines += [f"    {violation}" for violation in found[:5]]
+        per_product = ", ".join(f"{name} {share:.3f}" for name, share in self.by_product.items())
         lines.append(
-            f"service {self.service:.3f} ({by}); declined {self.declined:.1%}; {self.txns} txns, "
+            f"service {self.service:.3f} ({per_product}); declined {self.declined:.1%}; {self.txns} txns, "
             f"{self.messages} messages to gateways"
         )
         if self.dns_error:
-            lines.append(f"load of DNS clients off its weights by {self.dns_error:.1%}")
+            lines.append(f"load of DNS clients deviates from the weights by {self.dns_error:.1%}")
         return "\n".join(lines)
 
     def weight_history(self) -> list[str]:
-        """How the first gateway's weights for the first product went, as a line for each collector."""
+        """The first gateway's weights for the first product over the day, one line per collector."""
         lines, first = list[str](), ""
         for name, points in sorted(self.series.items()):
             if name.startswith("weight "):
@@ -79,7 +81,7 @@
 
 
 def load_records(folder: Path) -> list[dict[str, Any]]:
-    """All records of a folder in the order of their time; a last line that was cut off is left out."""
+    """All records of a folder in order of time; lines that were cut off are skipped."""
     rows = list[dict[str, Any]]()
     for file in sorted(folder.glob("*.jsonl")):
         for line in file.read_text().splitlines():
@@ -92,95 +94,107 @@
 
 @attrs.define
 class _Line:
+    """A server of a gateway's pool: its weight and administrative state."""
+
     weight: int
     admin: str
 
 
 class _Pools:
-    """The tables that each gateway holds, rebuilt from the commands that it answered."""
+    """The table of each gateway, reconstructed from the commands that it answered."""
 
     def __init__(self) -> None:
         self.lines = dict[str, dict[tuple[str, str], _Line]]()
 
-    def gateway(self, row: Mapping[str, Any]) -> None:
+    def reset_gateway(self, row: Mapping[str, Any]) -> None:
         self.lines[row["who"]] = {
             (product, server): _Line(1, "ready") for product in row["products"] for server in row["standing"]
         }
 
-    def command(self, row: Mapping[str, Any]) -> None:
+    def apply_command(self, row: Mapping[str, Any]) -> None:
         words, lines = row["words"], self.lines.setdefault(row["who"], {})
         if words[:2] == ["add", "server"] and row["answer"].startswith("New server"):
-            lines[_key(words[2])] = _Line(0, "maint")
+            lines[_split_server_name(words[2])] = _Line(0, "maint")
         elif words[:2] == ["del", "server"] and row["answer"].startswith("Server deleted"):
-            lines.pop(_key(words[2]), None)
-        elif words[:2] == ["set", "server"] and not row["answer"] and _key(words[2]) in lines:
+            lines.pop(_split_server_name(words[2]), None)
+        elif words[:2] == ["set", "server"] and not row["answer"] and _split_server_name(words[2]) in lines:
             if words[3] == "weight":
-                lines[_key(words[2])].weight = int(words[4])
+                lines[_split_server_name(words[2])].weight = int(words[4])
             elif words[3] == "state":
-                lines[_key(words[2])].admin = words[4]
+                lines[_split_server_name(words[2])].admin = words[4]
 
-    def empty(self, gateway: str, products: Iterable[str]) -> list[str]:
-        filled = {
+    def empty_pools(self, gateway: str, products: Iterable[str]) -> list[str]:
+        usable = {
             product
             for (product, _), line in self.lines[gateway].items()
             if line.weight and line.admin == "ready"
         }
-        return [product for product in products if product not in filled]
+        return [product for product in products if product not in usable]
 
 
-def _key(name: str) -> tuple[str, str]:
+def _split_server_name(name: str) -> tuple[str, str]:
     backend, _, server = name.partition("/")
     return backend, server
 
 
 def judge(day: Day, rows: list[dict[str, Any]]) -> Verdict:
-    """The verdict on a day's records. Raises ValueError if they hold no whole day."""
+    """The verdict on a day's records. Raises ValueError if they don't cover the whole day."""
     begins = next((row["t"] for row in rows if row["ev"] == "day" and row["what"] == "begins"), None)
     ends = next((row["t"] for row in rows if row["ev"] == "day" and row["what"] == "ends"), None)
     if begins is None or ends is None:
-        raise ValueError("the records hold no whole day")
+        raise ValueError("the records don't cover the whole day")
     violations = [
-        *_bare(day, rows, begins, ends),
-        *_twice(day, rows, begins),
-        *_drains(day, rows, begins),
-        *_kept_answers(day, rows, begins),
-        *_unanswered(day, rows, begins),
-        *_fallen(rows, begins),
-        *_messages(day, rows, begins),
+        *_empty_pools(day, rows, begins, ends),
+        *_duplicate_runs(day, rows, begins),
+        *_late_tries(day, rows, begins),
+        *_late_cached_tries(day, rows, begins),
+        *_unanswered_queries(day, rows, begins),
+        *_cold_crashes(rows, begins),
+        *_excess_messages(day, rows, begins),
     ]
     verdict = _service(day, rows, begins, ends)
-    verdict.violations = sorted(violations, key=lambda one: (one.rule, one.at))
+    verdict.violations = sorted(violations, key=lambda violation: (violation.rule, violation.at))
     return verdict
 
 
-def _bare(day: Day, rows: list[dict[str, Any]], begins: float, ends: float) -> Iterable[Violation]:
-    """Rule 1: how long each gateway's pool of a product was empty while some warm collector was listed
-    ready."""
-    limit, cold = seconds(day.figure("bare", otherwise="8s")), seconds(day.figure("cold", otherwise="15s"))
+def _empty_pools(day: Day, rows: list[dict[str, Any]], begins: float, ends: float) -> Iterable[Violation]:
+    """Rule 1: no gateway's pool of a product is empty for longer than `bare` while a warm collector is listed
+    as ready."""
+    limit, cold = (
+        seconds(day.plan_value("bare", default="8s")),
+        seconds(day.plan_value("cold", default="15s")),
+    )
     pools, since = _Pools(), dict[tuple[str, str], float]()
-    ready = {site.name: not site.absent for site in day.collectors}
+    ready = {node.name: not node.absent for node in day.collectors}
     warm_from = dict.fromkeys(ready, -1e9)
     names = [product.name for product in day.products]
     for row in [*rows, {"ev": "end", "t": ends}]:
         if row["ev"] == "gateway":
-            pools.gateway(row)
+            pools.reset_gateway(row)
             since = {key: at for key, at in since.items() if key[0] != row["who"]}
         elif row["ev"] == "cmd":
-            pools.command(row)
+            pools.apply_command(row)
         elif row["ev"] == "listed" and row["state"]:
-            back = not ready[row["name"]] and row["state"] == "ready"
+            returned = not ready[row["name"]] and row["state"] == "ready"
             ready[row["name"]] = row["state"] == "ready"
-            warm_from[row["name"]] = row["t"] + cold if back else warm_from[row["name"]]
+            warm_from[row["name"]] = row["t"] + cold if returned else warm_from[row["name"]]
         if row["ev"] not in ("gateway", "cmd", "listed", "end"):
             continue
-        someone = any(ready[name] and warm_from[name] <= row["t"] for name in ready)
+        any_warm = any(ready[name] and warm_from[name] <= row["t"] for name in ready)
         for gateway in pools.lines if row["ev"] in ("listed", "end") else (row["who"],):
-            empty = pools.empty(gateway, names) if someone else []
+            empty = pools.empty_pools(gateway, names) if any_warm else []
             for name in names:
-                began = since.get((gateway, name))
-                if began is not None and row["t"] - max(began, begins) > limit and row["t"] > begins:
+                empty_since = since.get((gateway, name))
+                if (
+                    empty_since is not None
+                    and row["t"] - max(empty_since, begins) > limit
+                    and row["t"] > begins
+                ):
                     yield Violation(
-                        1, began - begins, gateway, f"no line for {name} for {row['t'] - began:.1f} s"
+                        1,
+                        empty_since - begins,
+                        gateway,
+                        f"no line for {name} for {row['t'] - empty_since:.1f} s",
                     )
                     since.pop((gateway, name))
                 elif name not in empty:
@@ -189,89 +203,95 @@
                     since.setdefault((gateway, name), row["t"])
 
 
-def _twice(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
+def _duplicate_runs(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 2: no once-only txn runs at two collectors, nor twice at one."""
     once = {product.name for product in day.products if product.repeat == "once-only"}
-    ran = dict[str, str]()
+    ran_at = dict[str, str]()
     for row in rows:
         if row["ev"] == "run" and row["product"] in once:
-            if row["id"] in ran:
+            if row["id"] in ran_at:
                 yield Violation(
-                    2, row["t"] - begins, row["name"], f"{row['id']} ran at {ran[row['id']]} before"
+                    2, row["t"] - begins, row["name"], f"{row['id']} ran at {ran_at[row['id']]} before"
                 )
-            ran[row["id"]] = row["name"]
+            ran_at[row["id"]] = row["name"]
 
 
-def _drains(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
-    """Rule 3: no try to a collector later than the grace after the gateway's manager was told of its drain.
+def _late_tries(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
+    """Rule 3: no try to a collector later than the grace after the gateway's manager learned of its drain.
 
-    The time runs from the later of the telling and the moment that a manager has the gateway; a gateway
-    without a manager is bound by nobody. Who has it, and since when, is read off the words that crossed its
-    socket.
+    The grace starts when the manager learned of the drain or when it took the gateway, whichever is later. A
+    gateway without a manager is exempt. Which manager holds a gateway, and since when, is derived from the
+    commands that crossed the gateway's socket.
     """
-    grace = seconds(day.figure("grace", otherwise="4s"))
-    out = dict[tuple[str, str], float]()  # manager, collector -> told
-    holder = dict[str, tuple[str, float]]()
-    told = set[tuple[str, str]]()
+    grace = seconds(day.plan_value("grace", default="4s"))
+    left_at = dict[tuple[str, str], float]()  # (manager, collector) -> when the manager learned that it left
+    holders = dict[str, tuple[str, float]]()
+    reported = set[tuple[str, str]]()
     for row in rows:
         if row["ev"] == "listed":
-            _told(out, row)
+            _update_left(left_at, row)
         elif row["ev"] == "process" and row["what"] == "SIGKILL":
-            holder = {
-                name: one for name, one in holder.items() if one[0] != row["name"] and name != row["name"]
+            holders = {
+                name: holder
+                for name, holder in holders.items()
+                if holder[0] != row["name"] and name != row["name"]
             }
         elif row["ev"] == "streams" and row["what"] != "open":
-            holder.pop(row["who"], None)
-        elif row["ev"] == "cmd" and row["words"][:3] == ["set", "var", WROTE]:
+            holders.pop(row["who"], None)
+        elif row["ev"] == "cmd" and row["words"][:3] == ["set", "var", WROTE_VARIABLE]:
             name = row["words"][3].split("/")[1]
-            if holder.get(row["who"], ("", 0.0))[0] != name:
-                holder[row["who"]] = name, row["t"]
-        elif row["ev"] == "try" and row["who"] in holder:
-            name, since = holder[row["who"]]
-            when = out.get((name, row["server"]))
-            late = row["t"] - max(when, since) if when is not None else 0.0
-            if late > grace and (row["who"], row["server"]) not in told:
-                told.add((row["who"], row["server"]))
+            if holders.get(row["who"], ("", 0.0))[0] != name:
+                holders[row["who"]] = name, row["t"]
+        elif row["ev"] == "try" and row["who"] in holders:
+            name, since = holders[row["who"]]
+            left = left_at.get((name, row["server"]))
+            late = row["t"] - max(left, since) if left is not None else 0.0
+            if late > grace and (row["who"], row["server"]) not in reported:
+                reported.add((row["who"], row["server"]))
                 yield Violation(
                     3,
                     row["t"] - begins,
                     row["who"],
-                    f"{row['id']} sent to {row['server']} {late:.1f} s after {name} was told that it left",
+                    f"{row['id']} sent to {row['server']} {late:.1f} s after {name} learned that it left",
                 )
 
 
-def _told(out: dict[tuple[str, str], float], row: Mapping[str, Any]) -> None:
-    """Who left the list, by each manager's word, and since when; `row` is a `listed` one."""
+def _update_left(left_at: dict[tuple[str, str], float], row: Mapping[str, Any]) -> None:
+    """Updates, from a `listed` record, when each manager learned that a collector left the list."""
     key = row["manager"], row["name"]
     if row["state"] == "ready":
-        out.pop(key, None)
+        left_at.pop(key, None)
     elif row["state"]:
-        out.setdefault(key, row["t"])
+        left_at.setdefault(key, row["t"])
 
 
-def _kept_answers(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
-    """Rule 3 by DNS: no try to a collector later than the grace after the manager that named it was told of
-    its drain. Resolvers that keep answers beyond their life are bound by nobody."""
-    grace = seconds(day.figure("grace", otherwise="4s"))
-    out, told = dict[tuple[str, str], float](), set[tuple[str, str]]()
+def _late_cached_tries(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
+    """Rule 3 for DNS: no try to a collector later than the grace after the manager that gave the answer
+    learned of its drain. Resolvers that keep answers beyond their TTL are exempt."""
+    grace = seconds(day.plan_value("grace", default="4s"))
+    left_at, reported = dict[tuple[str, str], float](), set[tuple[str, str]]()
     for row in rows:
         if row["ev"] == "listed":
-            _told(out, row)
+            _update_left(left_at, row)
         elif row["ev"] == "try" and "front" in row and not row["ignores"]:
-            when = out.get((row["front"], row["server"]))
-            if when is not None and row["t"] - when > grace and (row["resolver"], row["server"]) not in told:
-                told.add((row["resolver"], row["server"]))
+            left = left_at.get((row["front"], row["server"]))
+            if (
+                left is not None
+                and row["t"] - left > grace
+                and (row["resolver"], row["server"]) not in reported
+            ):
+                reported.add((row["resolver"], row["server"]))
                 yield Violation(
                     3,
                     row["t"] - begins,
                     row["resolver"],
-                    f"{row['id']} sent to {row['server']} {row['t'] - when:.1f} s after {row['front']} heard",
+                    f"{row['id']} sent to {row['server']} {row['t'] - left:.1f} s after {row['front']} knew",
                 )
 
 
-def _unanswered(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
-    """Rule 1 by DNS: no resolver is left without a name for longer than `bare`, from its first answer on."""
-    limit = seconds(day.figure("bare", otherwise="8s"))
+def _unanswered_queries(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
+    """Rule 1 for DNS: after its first answer, no resolver goes without an answer for longer than `bare`."""
+    limit = seconds(day.plan_value("bare", default="8s"))
     since = dict[tuple[str, str], float]()
     for row in rows:
         if row["ev"] not in ("answered", "unanswered"):
@@ -292,17 +312,17 @@
 
 
 def dns_error(rows: list[dict[str, Any]], begins: float, ends: float, span: float = 10.0) -> float:
-    """How far DNS clients' txns are from the weights: the part that would have to go elsewhere, over spans
-    of some seconds, weighed by their txns; 0 is exact."""
+    """How far the DNS clients' txns deviate from the weights: the share of txns that would have to go to
+    another server, measured over spans of `span` seconds and weighted by their txns; 0 is exact."""
     tries = defaultdict[tuple[int, str, str], dict[str, float]](lambda: defaultdict(float))
-    wants = defaultdict[tuple[int, str, str], dict[str, float]](lambda: defaultdict(float))
-    nearest = dict[str, str]()  # region -> the manager whose answers most of its resolvers use
+    weights = defaultdict[tuple[int, str, str], dict[str, float]](lambda: defaultdict(float))
+    nearest = dict[str, str]()  # region -> the manager that most of its resolvers use, by the first try
     for row in rows:
         if not begins <= row["t"] < ends:
             continue
-        turn = int((row["t"] - begins) / span)
+        span_number = int((row["t"] - begins) / span)
         if row["ev"] == "try" and "front" in row:
-            tries[turn, row["product"], row["region"]][row["server"]] += 1
+            tries[span_number, row["product"], row["region"]][row["server"]] += 1
             nearest.setdefault(row["region"], row["front"])
         elif row["ev"] == "split":
             pools = defaultdict[tuple[str, str], dict[str, float]](dict)
@@ -311,105 +331,115 @@
             for (product, region), pool in pools.items():
                 if nearest.get(region, row["manager"]) == row["manager"]:
                     for server, weight in pool.items():
-                        wants[turn, product, region][server] += weight / sum(pool.values())
-    off = whole = 0.0
-    for key, got in tries.items():
-        want, many = wants.get(key), sum(got.values())
-        if want:
-            scale = sum(want.values())
-            names = {*got, *want}
-            off += many * sum(abs(got.get(n, 0) / many - want.get(n, 0) / scale) for n in names) / 2
-            whole += many
-    return off / whole if whole else 0.0
-
-
-def _fallen(rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
+                        weights[span_number, product, region][server] += weight / sum(pool.values())
+    misplaced = total = 0.0
+    for key, counts in tries.items():
+        expected, txns = weights.get(key), sum(counts.values())
+        if expected:
+            scale = sum(expected.values())
+            names = {*counts, *expected}
+            misplaced += (
+                txns
+                * sum(abs(counts.get(name, 0) / txns - expected.get(name, 0) / scale) for name in names)
+                / 2
+            )
+            total += txns
+    return misplaced / total if total else 0.0
+
+
+def _cold_crashes(rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
     """Rule 4: no cold collector fell over."""
     for row in rows:
         if row["ev"] == "fell":
             yield Violation(4, row["t"] - begins, row["name"], "fell over while cold")
 
 
-def _messages(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
-    """Rule 5: messages to one gateway within the span, and lines of one message, as they came out of the
-    sockets."""
-    cap, most = (
-        int(day.figure("messages", otherwise="0")),
-        float(day.figure("channel-waiting", otherwise="2500")),
+def _excess_messages(day: Day, rows: list[dict[str, Any]], begins: float) -> Iterable[Violation]:
+    """Rule 5: the messages to one gateway within the span, and the lines of one message, stay within their
+    limits, as read from the sockets."""
+    cap, max_lines = (
+        int(day.plan_value("messages", default="0")),
+        float(day.plan_value("channel-waiting", default="2500")),
     )
-    span = seconds(day.figure("messages", "per", "10s"))
-    times, lines = defaultdict[tuple[str, str], list[float]](list), defaultdict[str, int](int)
+    span = seconds(day.plan_value("messages", "per", "10s"))
+    message_times, lines = defaultdict[tuple[str, str], list[float]](list), defaultdict[str, int](int)
     for row in rows:
         if row["ev"] != "cmd":
             continue
         lines[row["who"]] += 1
-        if row["words"][:3] != ["set", "var", WROTE]:
+        if row["words"][:3] != ["set", "var", WROTE_VARIABLE]:
             continue
         manager = row["words"][3].split("/")[1]
-        sent = times[row["who"], manager]
-        sent.append(row["t"])
-        while sent[0] < row["t"] - span:
-            sent.pop(0)
-        if cap and len(sent) > cap:
+        recent = message_times[row["who"], manager]
+        recent.append(row["t"])
+        while recent[0] < row["t"] - span:
+            recent.pop(0)
+        if cap and len(recent) > cap:
             yield Violation(
-                5, row["t"] - begins, row["who"], f"{len(sent)} messages of {manager} within {span:g} s"
+                5, row["t"] - begins, row["who"], f"{len(recent)} messages of {manager} within {span:g} s"
             )
-        if lines[row["who"]] > most:
+        if lines[row["who"]] > max_lines:
             yield Violation(5, row["t"] - begins, row["who"], f"a message of {lines[row['who']]} lines")
         lines[row["who"]] = 0
 
 
 def _service(day: Day, rows: list[dict[str, Any]], begins: float, ends: float) -> Verdict:
-    """Revenue within the SLA time (and a part of it up to the expiry) over revenue asked for, by first
-    tries."""
+    """The service: revenue of txns settled within the SLA time, plus a part of it up to the expiry, divided
+    by the revenue of all txns, each counted once however many tries it took."""
     products = {product.name: product for product in day.products}
-    asked, got = dict.fromkeys(products, 0.0), dict.fromkeys(products, 0.0)
+    requested, earned = dict.fromkeys(products, 0.0), dict.fromkeys(products, 0.0)
     outcome = {row["id"]: row for row in rows if row["ev"] == "told"}
-    declined = many = messages = 0
+    declined = txns = messages = 0
     per_second = defaultdict[int, list[float]](lambda: [0.0, 0.0])
     for row in rows:
-        messages += row["ev"] == "cmd" and row["words"][:3] == ["set", "var", WROTE] and row["t"] >= begins
+        messages += (
+            row["ev"] == "cmd" and row["words"][:3] == ["set", "var", WROTE_VARIABLE] and row["t"] >= begins
+        )
         if row["ev"] != "ask" or not begins <= row["t"] <= ends:
             continue
-        product, end = products[row["product"]], outcome.get(row["id"])
-        many += 1
-        asked[product.name] += product.revenue
-        part = 0.0
-        if end is not None and end["code"] < 400:
-            part = 1.0 if end["took"] <= product.sla else product.late
-        declined += end is not None and end["code"] == 429
-        got[product.name] += part * product.revenue
+        product, result = products[row["product"]], outcome.get(row["id"])
+        txns += 1
+        requested[product.name] += product.revenue
+        share = 0.0
+        if result is not None and result["code"] < 400:
+            share = 1.0 if result["took"] <= product.sla else product.late
+        declined += result is not None and result["code"] == 429
+        earned[product.name] += share * product.revenue
         bucket = per_second[int(row["t"] - begins)]
-        bucket[0] += part * product.revenue
+        bucket[0] += share * product.revenue
         bucket[1] += product.revenue
-    whole = sum(asked.values()) or 1.0
+    total = sum(requested.values()) or 1.0
     return Verdict(
         [],
-        sum(got.values()) / whole,
-        {n: got[n] / asked[n] for n in products if asked[n]},
-        declined / max(1, many),
+        sum(earned.values()) / total,
+        {name: earned[name] / requested[name] for name in products if requested[name]},
+        declined / max(1, txns),
         messages,
-        many,
+        txns,
         dns_error(rows, begins, ends) if day.resolvers else 0.0,
         {
-            "service": [(second, a / b) for second, (a, b) in sorted(per_second.items()) if b],
+            "service": [
+                (second, earned_then / requested_then)
+                for second, (earned_then, requested_then) in sorted(per_second.items())
+                if requested_then
+            ],
             **_levels(rows, begins, ends),
         },
     )
 
 
 def _levels(rows: list[dict[str, Any]], begins: float, ends: float) -> dict[str, list[tuple[float, float]]]:
-    """Levels by gateway and product, and the weights of the first gateway, over the day."""
-    found = defaultdict[str, list[tuple[float, float]]](list)
-    first = min((row["who"] for row in rows if row["ev"] == "gateway"), default="")
+    """Series over the day: levels by gateway and product, the first gateway's weights, and waiting lines."""
+    series = defaultdict[str, list[tuple[float, float]]](list)
+    first_gateway = min((row["who"] for row in rows if row["ev"] == "gateway"), default="")
     for row in rows:
         if row["ev"] == "waits":
-            found[f"waiting {row['manager']}"].append((row["t"] - begins, float(row["lines"])))
+            series[f"waiting {row['manager']}"].append((row["t"] - begins, float(row["lines"])))
         if row["ev"] != "cmd" or row["t"] > ends:
             continue
         words, at = row["words"], max(0.0, row["t"] - begins)
         if words[:2] == ["add", "map"] and words[3] == "levels":
-            found[f"level {row['who']} {words[4]}"].append((at, float(words[5]) / 1000))
-        elif words[:2] == ["set", "server"] and words[3] == "weight" and row["who"] == first:
-            found[f"weight {words[2]}"].append((at, float(words[4])))
-    return dict(found)
+            series[f"level {row['who']} {words[4]}"].append((at, float(words[5]) / 1000))
+        elif words[:2] == ["set", "server"] and words[3] == "weight" and row["who"] == first_gateway:
+            series[f"weight {words[2]}"].append((at, float(words[4])))
+    return dict(series)
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""Stories of the whole path: managers steer gateways over their runtime sockets, all of it in memory."""
+"""End-to-end tests in memory: managers control gateways over simulated runtime sockets."""
 
 import unittest
 from functools import cache
@@ -10,406 +10,421 @@
 from tests.fake_cluster import FakeCluster, FakeTransport
 
 
-commands = cache(command_table)  # one table of commands a manager, as its listeners share it
+commands = cache(command_table)  # one command table per manager, as its listeners share it
 
 
 def ctl(manager: Manager, text: str) -> str:
     command = Command(tuple(text.split()))
-    verb = commands(manager).find(command.words)
-    assert verb is not None, text
+    spec = commands(manager).find(command.words)
+    assert spec is not None, text
     try:
-        answer = verb.run(command, Level.ADMIN)
+        answer = spec.run(command, Level.ADMIN)
     except CommandRefused as refused:
         return f"refused: {refused}"
     assert isinstance(answer, str)
     return answer
 
 
-class SteeringStories(unittest.TestCase):
-    def test_a_gateway_is_held_filled_and_its_levels_set(self) -> None:
-        world = FakeCluster()
-        world.run(6, rate=20)
-        self.assertEqual({world.holder(name) for name in world.sites}, {"m0"})
-        for name in world.sites:
-            self.assertTrue(set(world.usable_weights(name, "pay")) - {"s0"})
-            self.assertEqual(world.gateways[name].maps["levels"], {"ask": "1000", "pay": "1000"})
-            self.assertEqual(world.gateways[name].maps["retries"], {"ask": "1", "pay": "1"})
+class SteeringTests(unittest.TestCase):
+    def test_a_gateway_is_held_and_gets_its_table_and_levels(self) -> None:
+        cluster = FakeCluster()
+        cluster.run(6, rate=20)
+        self.assertEqual({cluster.holder(name) for name in cluster.sites}, {"m0"})
+        for name in cluster.sites:
+            self.assertTrue(set(cluster.usable_weights(name, "pay")) - {"s0"})
+            self.assertEqual(cluster.gateways[name].maps["levels"], {"ask": "1000", "pay": "1000"})
+            self.assertEqual(cluster.gateways[name].maps["retries"], {"ask": "1", "pay": "1"})
 
     def test_when_nothing_changes_nothing_is_sent(self) -> None:
-        world = FakeCluster()
-        world.run(40, rate=20)
-        before = world.clock.seconds()
-        world.run(10, rate=20)
-        self.assertLess(len(world.change_commands("g0", before)), 12)
-
-    def test_a_drain_told_by_an_operator_reaches_every_gateway_at_once(self) -> None:
-        world = FakeCluster(cap=60)
-        world.run(6, rate=20)
-        self.assertEqual(ctl(world.managers["m0"], "set server fleet/s0 state drain"), "")
-        world.run(1.5)
-        for name in world.sites:
-            self.assertNotIn("s0", world.usable_weights(name, "pay"))
-            self.assertTrue(world.usable_weights(name, "pay"))
-        self.assertEqual(world.managers["m0"].roster.version, 5)
-        ctl(world.managers["m0"], "set server fleet/s0 state drain")  # the same again changes nothing
-        self.assertEqual(world.managers["m0"].roster.version, 5)
-
-    def test_a_server_added_by_an_operator_comes_in_cold_and_grows(self) -> None:
-        world = FakeCluster()
-        world.run(10, rate=40)
-        answer = ctl(world.managers["m0"], "add server fleet/s9 127.0.0.1:7009 region a")
+        cluster = FakeCluster()
+        cluster.run(40, rate=20)
+        before = cluster.clock.seconds()
+        cluster.run(10, rate=20)
+        self.assertLess(len(cluster.change_commands("g0", before)), 12)
+
+    def test_a_drain_by_an_operator_reaches_every_gateway_at_once(self) -> None:
+        cluster = FakeCluster(cap=60)
+        cluster.run(6, rate=20)
+        self.assertEqual(ctl(cluster.managers["m0"], "set server fleet/s0 state drain"), "")
+        cluster.run(1.5)
+        for name in cluster.sites:
+            self.assertNotIn("s0", cluster.usable_weights(name, "pay"))
+            self.assertTrue(cluster.usable_weights(name, "pay"))
+        self.assertEqual(cluster.managers["m0"].roster.version, 5)
+        ctl(cluster.managers["m0"], "set server fleet/s0 state drain")  # repeating it changes nothing
+        self.assertEqual(cluster.managers["m0"].roster.version, 5)
+
+    def test_a_server_added_by_an_operator_starts_cold_and_ramps_up(self) -> None:
+        cluster = FakeCluster()
+        cluster.run(10, rate=40)
+        answer = ctl(cluster.managers["m0"], "add server fleet/s9 127.0.0.1:7009 region a")
         self.assertEqual(answer, "New server registered.\n")
-        world.run(4, rate=40)
-        early = world.usable_weights("g0", "ask").get("s9", 0) / sum(
-            world.usable_weights("g0", "ask").values()
+        cluster.run(4, rate=40)
+        early = cluster.usable_weights("g0", "ask").get("s9", 0) / sum(
+            cluster.usable_weights("g0", "ask").values()
         )
-        world.run(25, rate=40)
-        late = world.usable_weights("g0", "ask").get("s9", 0) / sum(
-            world.usable_weights("g0", "ask").values()
+        cluster.run(25, rate=40)
+        late = cluster.usable_weights("g0", "ask").get("s9", 0) / sum(
+            cluster.usable_weights("g0", "ask").values()
         )
         self.assertLess(early, 0.5 * late)
         self.assertIn(
-            "Another server has", ctl(world.managers["m0"], "add server fleet/x 127.0.0.1:7009 region a")
+            "Another server has", ctl(cluster.managers["m0"], "add server fleet/x 127.0.0.1:7009 region a")
         )
 
     def test_a_server_that_hangs_is_withdrawn_and_comes_back(self) -> None:
-        world = FakeCluster(cap=60)
-        world.run(5, rate=20)
-        world.prober.failing.add("127.0.0.1:7002")
-        world.hung.add("s2")
-        world.run(9, rate=20)
-        self.assertNotIn("s2", world.usable_weights("g0", "ask"))
-        world.prober.failing.clear()
-        world.hung.clear()
-        world.run(25, rate=20)
-        self.assertIn("s2", world.usable_weights("g0", "ask"))
-
-    def test_overload_lowers_the_levels_and_lifts_them_again(self) -> None:
-        world = FakeCluster(cap=60)
-        world.run(12, rate=20)
+        cluster = FakeCluster(cap=60)
+        cluster.run(5, rate=20)
+        cluster.prober.failing.add("127.0.0.1:7002")
+        cluster.hung.add("s2")
+        cluster.run(9, rate=20)
+        self.assertNotIn("s2", cluster.usable_weights("g0", "ask"))
+        cluster.prober.failing.clear()
+        cluster.hung.clear()
+        cluster.run(25, rate=20)
+        self.assertIn("s2", cluster.usable_weights("g0", "ask"))
+
+    def test_overload_lowers_the_levels_and_recovery_raises_them(self) -> None:
+        cluster = FakeCluster(cap=60)
+        cluster.run(12, rate=20)
 
         for turn in range(14):
-            for state in world.gateways.values():
+            for state in cluster.gateways.values():
                 for product, lines in state.backends.items():
                     state.received[product] += 60
                     for line in lines.values():
                         for _ in range(10 if line.weight else 0):
                             line.record_settled(0.9 + 0.05 * turn)
-            world.run(1)
-        low = int(world.gateways["g0"].maps["levels"]["ask"])
+            cluster.run(1)
+        low = int(cluster.gateways["g0"].maps["levels"]["ask"])
         self.assertLess(low, 1000)
-        world.run(30, rate=10)
-        self.assertGreater(int(world.gateways["g0"].maps["levels"]["ask"]), low)
+        cluster.run(30, rate=10)
+        self.assertGreater(int(cluster.gateways["g0"].maps["levels"]["ask"]), low)
 
 
-class LostStories(unittest.TestCase):
-    def cut_at(self, world: FakeCluster, words: tuple[str, ...], many: int) -> list[dict[str, str]]:
-        """The socket breaks the moment g0 has carried out the `many`th command that starts so."""
-        seen, levels = [0], list[dict[str, str]]()
-        state, heard = world.gateways["g0"], world.gateways["g0"].on_command
+class ConnectionLossTests(unittest.TestCase):
+    def cut_connection_at(
+        self, cluster: FakeCluster, words: tuple[str, ...], count: int
+    ) -> list[dict[str, str]]:
+        """Breaks the socket when g0 has executed the `count`th command that starts with `words`."""
+        matches, levels = [0], list[dict[str, str]]()
+        state, on_command = cluster.gateways["g0"], cluster.gateways["g0"].on_command
 
-        def cut(got: tuple[str, ...], answer: str) -> None:
-            heard(got, answer)
+        def record_and_cut(words_run: tuple[str, ...], answer: str) -> None:
+            on_command(words_run, answer)
             levels.append(dict(state.maps["levels"]))
-            seen[0] += got[: len(words)] == words
-            if seen[0] == many and got[: len(words)] == words:
-                world.wires["m0", "g0"].muted = True  # the rest of the line, and every answer, is lost
-                world.wires["m0", "g0"].abortConnection()
+            matches[0] += words_run[: len(words)] == words
+            if matches[0] == count and words_run[: len(words)] == words:
+                cluster.wires["m0", "g0"].muted = True  # the rest of the line and all answers are lost
+                cluster.wires["m0", "g0"].abortConnection()
 
-        state.on_command = cut
+        state.on_command = record_and_cut
         return levels
 
-    def test_a_socket_that_drops_between_two_servers_orders_is_read_back(self) -> None:
-        for many in (1, 2, 3):
-            world = FakeCluster(gateways=1)
-            world.run(6, rate=20)
-            self.cut_at(world, ("set", "server"), many)
-            ctl(world.managers["m0"], "set server fleet/s1 state drain")
-            ctl(world.managers["m0"], "add server fleet/s8 127.0.0.1:7008 region a started 1m")
-            world.run(9, rate=20)
-            rows = parse_table(ctl(world.managers["m0"], "show table g0"))
+    def test_after_a_disconnect_between_two_server_commands_the_state_is_read_back(self) -> None:
+        for count in (1, 2, 3):
+            cluster = FakeCluster(gateways=1)
+            cluster.run(6, rate=20)
+            self.cut_connection_at(cluster, ("set", "server"), count)
+            ctl(cluster.managers["m0"], "set server fleet/s1 state drain")
+            ctl(cluster.managers["m0"], "add server fleet/s8 127.0.0.1:7008 region a started 1m")
+            cluster.run(9, rate=20)
+            rows = parse_table(ctl(cluster.managers["m0"], "show table g0"))
             self.assertTrue(rows)
             for row in rows:
-                line = world.gateways["g0"].backends[row["pxname"]].get(row["svname"])
+                line = cluster.gateways["g0"].backends[row["pxname"]].get(row["svname"])
                 self.assertEqual(str(line.weight) if line else "0", row["weight"])
                 self.assertEqual((row["held_weight"] or "0"), row["weight"])
 
-    def test_a_socket_that_drops_inside_a_map_leaves_the_old_map_whole(self) -> None:
+    def test_a_disconnect_during_a_map_update_leaves_the_old_map_intact(self) -> None:
         full = {"ask": "1000", "pay": "1000"}
-        for words, many in ((("prepare",), 1), (("add", "map"), 1), (("add", "map"), 3), (("commit",), 1)):
-            world = FakeCluster(gateways=1)
-            levels = self.cut_at(world, words, many)
-            world.run(14, rate=20)
-            self.assertTrue(all(some in ({}, full) for some in levels), words)
-            self.assertEqual(world.gateways["g0"].maps["levels"], full, words)
-
-    def test_a_manager_that_returns_changes_nothing_and_lets_in_all(self) -> None:
-        world = FakeCluster()
-        world.run(15, rate=20)
+        for words, count in ((("prepare",), 1), (("add", "map"), 1), (("add", "map"), 3), (("commit",), 1)):
+            cluster = FakeCluster(gateways=1)
+            levels = self.cut_connection_at(cluster, words, count)
+            cluster.run(14, rate=20)
+            self.assertTrue(all(seen in ({}, full) for seen in levels), words)
+            self.assertEqual(cluster.gateways["g0"].maps["levels"], full, words)
+
+    def test_a_restarted_manager_changes_nothing_and_admits_all(self) -> None:
+        cluster = FakeCluster()
+        cluster.run(15, rate=20)
         before = {
-            name: (world.usable_weights(name, "ask"), dict(world.gateways[name].maps["levels"]))
-            for name in world.sites
+            name: (cluster.usable_weights(name, "ask"), dict(cluster.gateways[name].maps["levels"]))
+            for name in cluster.sites
         }
-        world.kill("m0")
-        world.run(3, rate=20)
+        cluster.kill("m0")
+        cluster.run(3, rate=20)
         self.assertEqual(
             before,
             {
-                name: (world.usable_weights(name, "ask"), dict(world.gateways[name].maps["levels"]))
-                for name in world.sites
+                name: (cluster.usable_weights(name, "ask"), dict(cluster.gateways[name].maps["levels"]))
+                for name in cluster.sites
             },
         )
-        since = world.clock.seconds()
-        world.start_manager("m0")
-        world.run(5, rate=20)
-        self.assertEqual({world.holder(name) for name in world.sites}, {"m0"})
+        since = cluster.clock.seconds()
+        cluster.start_manager("m0")
+        cluster.run(5, rate=20)
+        self.assertEqual({cluster.holder(name) for name in cluster.sites}, {"m0"})
         self.assertFalse(
             [
                 words
-                for name in world.sites
-                for words in world.change_commands(name, since)
+                for name in cluster.sites
+                for words in cluster.change_commands(name, since)
                 if words[0] == "add" and words[1] == "server"
             ]
         )
-        self.assertEqual(world.gateways["g0"].maps["levels"], {"ask": "1000", "pay": "1000"})
-
-    def test_a_gateway_that_restarts_is_filled_anew(self) -> None:
-        world = FakeCluster()
-        world.run(8, rate=20)
-        world.wires["m0", "g0"].abortConnection()
-        world.down.add("g0")
-        world.run(2)
-        world.down.clear()
-        world.start_gateway("g0", pid=2)
-        world.run(8, rate=20)
-        self.assertEqual(set(world.usable_weights("g0", "ask")), set(world.usable_weights("g0", "pay")))
-        self.assertGreater(len(world.usable_weights("g0", "ask")), 1)
-
-
-class SweepStories(unittest.TestCase):
+        self.assertEqual(cluster.gateways["g0"].maps["levels"], {"ask": "1000", "pay": "1000"})
+
+    def test_a_restarted_gateway_gets_its_whole_table_again(self) -> None:
+        cluster = FakeCluster()
+        cluster.run(8, rate=20)
+        cluster.wires["m0", "g0"].abortConnection()
+        cluster.down.add("g0")
+        cluster.run(2)
+        cluster.down.clear()
+        cluster.start_gateway("g0", pid=2)
+        cluster.run(8, rate=20)
+        self.assertEqual(set(cluster.usable_weights("g0", "ask")), set(cluster.usable_weights("g0", "pay")))
+        self.assertGreater(len(cluster.usable_weights("g0", "ask")), 1)
+
+
+class RemovedServerTests(unittest.TestCase):
     def test_a_server_off_the_list_is_taken_out_of_the_gateways(self) -> None:
-        world = FakeCluster(cap=60)
-        world.run(8, rate=20)
-        ctl(world.managers["m0"], "disable server fleet/s2")
-        self.assertEqual(ctl(world.managers["m0"], "del server fleet/s2"), "Server deleted.\n")
-        world.gateways["g0"].backends["pay"]["s2"].in_flight = 1  # a txn in hand: the gateway refuses for now
-        world.run(95, rate=20)
-        self.assertNotIn("s2", world.gateways["g0"].backends["ask"])
-        self.assertIn("s2", world.gateways["g0"].backends["pay"])
-        world.gateways["g0"].backends["pay"]["s2"].in_flight = 0
-        world.run(35, rate=20)
-        self.assertNotIn("s2", world.gateways["g0"].backends["pay"])
-        self.assertEqual(set(world.gateways["g0"].backends["ask"]) - {"s0", "s1", "s3"}, set())
-
-
-class HoldingStories(unittest.TestCase):
+        cluster = FakeCluster(cap=60)
+        cluster.run(8, rate=20)
+        ctl(cluster.managers["m0"], "disable server fleet/s2")
+        self.assertEqual(ctl(cluster.managers["m0"], "del server fleet/s2"), "Server deleted.\n")
+        cluster.gateways["g0"].backends["pay"]["s2"].in_flight = 1  # the gateway refuses removal for now
+        cluster.run(95, rate=20)
+        self.assertNotIn("s2", cluster.gateways["g0"].backends["ask"])
+        self.assertIn("s2", cluster.gateways["g0"].backends["pay"])
+        cluster.gateways["g0"].backends["pay"]["s2"].in_flight = 0
+        cluster.run(35, rate=20)
+        self.assertNotIn("s2", cluster.gateways["g0"].backends["pay"])
+        self.assertEqual(set(cluster.gateways["g0"].backends["ask"]) - {"s0", "s1", "s3"}, set())
+
+
+class TakeoverTests(unittest.TestCase):
     def test_each_manager_holds_the_gateways_of_its_region_and_the_other_takes_over(self) -> None:
-        world = FakeCluster(managers=2)
-        world.run(8, rate=20)
-        self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m1"))
-        world.kill("m1")
-        world.run(10, rate=20)
-        self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m0"))
-        world.start_manager("m1")
-        world.run(20, rate=20)
-        self.assertEqual((world.holder("g0"), world.holder("g1")), ("m0", "m1"))
-        self.assertEqual(len(world.managers["m0"].core.sessions), 1)
+        cluster = FakeCluster(managers=2)
+        cluster.run(8, rate=20)
+        self.assertEqual((cluster.holder("g0"), cluster.holder("g1")), ("m0", "m1"))
+        cluster.kill("m1")
+        cluster.run(10, rate=20)
+        self.assertEqual((cluster.holder("g0"), cluster.holder("g1")), ("m0", "m0"))
+        cluster.start_manager("m1")
+        cluster.run(20, rate=20)
+        self.assertEqual((cluster.holder("g0"), cluster.holder("g1")), ("m0", "m1"))
+        self.assertEqual(len(cluster.managers["m0"].core.sessions), 1)
 
     def test_a_stale_managers_late_write_is_undone(self) -> None:
-        world = FakeCluster(managers=2)
-        world.run(8, rate=20)
-        state = world.gateways["g0"]
-        before = world.usable_weights("g0", "pay")
-        for line in state.backends["pay"].values():  # what a manager that stood still for long might send
+        cluster = FakeCluster(managers=2)
+        cluster.run(8, rate=20)
+        state = cluster.gateways["g0"]
+        before = cluster.usable_weights("g0", "pay")
+        for line in state.backends["pay"].values():  # as a manager that was suspended for long might send
             line.weight = 1 if line.name == "s0" else 0
         state.variables["proc.rushladder_wrote"] = "1/m1/b/77"
-        world.run(2.5, rate=20)
-        self.assertEqual(set(world.usable_weights("g0", "pay")), set(before))
+        cluster.run(2.5, rate=20)
+        self.assertEqual(set(cluster.usable_weights("g0", "pay")), set(before))
 
     def test_a_gateway_of_a_silent_link_is_left_and_its_demand_still_counts(self) -> None:
-        world = FakeCluster()
-        world.run(8, rate=20)
-        wire = world.wires["m0", "g1"]
-        assert wire.other is not None
-        wire.other.muted = True  # it still hears and acts, but nothing of it is heard
-        world.down.add("g1")
-        world.run(4, rate=20)
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
-        self.assertIn("no answer within", ctl(world.managers["m0"], "show errors"))
-
-
-class BadPeerStories(unittest.TestCase):
-    def garbage(self, text: bytes) -> FakeCluster:
-        world = FakeCluster()
-        world.run(6, rate=20)
-        wire = world.wires["m0", "g1"]
-        assert wire.other is not None
-
-        def shape(name: str, near: FakeTransport) -> None:
+        cluster = FakeCluster()
+        cluster.run(8, rate=20)
+        transport = cluster.wires["m0", "g1"]
+        assert transport.other is not None
+        transport.other.muted = True  # it still receives and executes commands, but its answers are lost
+        cluster.down.add("g1")
+        cluster.run(4, rate=20)
+        self.assertEqual(
+            [port.gateway.name for port in cluster.managers["m0"].core.sessions.values()], ["g0"]
+        )
+        self.assertIn("no answer within", ctl(cluster.managers["m0"], "show errors"))
+
+
+class BadPeerTests(unittest.TestCase):
+    def check_recovery_from(self, text: bytes) -> FakeCluster:
+        cluster = FakeCluster()
+        cluster.run(6, rate=20)
+        transport = cluster.wires["m0", "g1"]
+        assert transport.other is not None
+
+        def answer_with_garbage(name: str, near: FakeTransport) -> None:
             if name == "g1":
                 assert near.other is not None
                 near.other.write = lambda data: near.clock.callLater(0.01, near.protocol.dataReceived, text)  # type: ignore[assignment, method-assign]
 
-        world.on_connect = shape
-        wire.abortConnection()
-        world.run(6, rate=20)
-        world.on_connect = lambda name, near: None
-        self.assertEqual([port.gateway.name for port in world.managers["m0"].core.sessions.values()], ["g0"])
-        world.run(10, rate=20)
-        self.assertEqual(len(world.managers["m0"].core.sessions), 2)
-        return world
+        cluster.on_connect = answer_with_garbage
+        transport.abortConnection()
+        cluster.run(6, rate=20)
+        cluster.on_connect = lambda name, near: None
+        self.assertEqual(
+            [port.gateway.name for port in cluster.managers["m0"].core.sessions.values()], ["g0"]
+        )
+        cluster.run(10, rate=20)
+        self.assertEqual(len(cluster.managers["m0"].core.sessions), 2)
+        return cluster
 
     def test_garbage_costs_the_connection_and_nothing_else(self) -> None:
-        self.garbage(b"\x00\xff what? \n\n\n\n")
+        self.check_recovery_from(b"\x00\xff what? \n\n\n\n")
 
     def test_an_answer_of_megabytes_costs_the_connection_and_nothing_else(self) -> None:
-        self.garbage(b"x" * 9_000_000)
+        self.check_recovery_from(b"x" * 9_000_000)
 
-    def test_a_gateway_that_refuses_is_asked_again_ever_more_slowly(self) -> None:
-        world = FakeCluster(gateways=1)
-        del world.gateways["g0"].backends["pay"]
-        world.run(30, rate=5)
-        refused = [words for _, _, words, answer in world.sent if answer.startswith("No such backend")]
+    def test_a_command_that_a_gateway_refuses_is_retried_with_backoff(self) -> None:
+        cluster = FakeCluster(gateways=1)
+        del cluster.gateways["g0"].backends["pay"]
+        cluster.run(30, rate=5)
+        refused = [words for _, _, words, answer in cluster.sent if answer.startswith("No such backend")]
         self.assertTrue(0 < len(refused) < 120)
-        self.assertTrue(len(world.usable_weights("g0", "ask")) > 1)
-        self.assertIn("No such backend", ctl(world.managers["m0"], "show errors"))
+        self.assertTrue(len(cluster.usable_weights("g0", "ask")) > 1)
+        self.assertIn("No such backend", ctl(cluster.managers["m0"], "show errors"))
 
 
-class ChannelStories(unittest.TestCase):
+class ChannelTests(unittest.TestCase):
     def test_no_gateway_is_sent_more_messages_than_the_cap(self) -> None:
-        world = FakeCluster(cap=8)
-        world.run(4, rate=20)
+        cluster = FakeCluster(cap=8)
+        cluster.run(4, rate=20)
         for turn in range(60):
             state = ("drain", "ready")[turn % 2]
-            ctl(world.managers["m0"], f"set server fleet/s{turn % 3} state {state}")
-            world.run(0.5, rate=20)
-        for name in world.sites:
+            ctl(cluster.managers["m0"], f"set server fleet/s{turn % 3} state {state}")
+            cluster.run(0.5, rate=20)
+        for name in cluster.sites:
             wrote = [
                 at
-                for at, site, words, _ in world.sent
+                for at, site, words, _ in cluster.sent
                 if site == name and words[:3] == ("set", "var", "proc.rushladder_wrote")
             ]
             self.assertLessEqual(max(sum(at <= other < at + 10 for other in wrote) for at in wrote), 8)
 
-    def test_a_slow_gateway_gets_one_message_at_a_time_and_all_that_it_missed(self) -> None:
-        world = FakeCluster(cap=60)
-        world.run(6, rate=20)
-        for wire in world.wires.values():
-            assert wire.other is not None
-            wire.other.delay = 0.9
+    def test_a_slow_gateway_gets_one_message_at_a_time_and_misses_none(self) -> None:
+        cluster = FakeCluster(cap=60)
+        cluster.run(6, rate=20)
+        for transport in cluster.wires.values():
+            assert transport.other is not None
+            transport.other.delay = 0.9
         for turn in range(10):
             ctl(
-                world.managers["m0"],
+                cluster.managers["m0"],
                 f"set server fleet/s{turn % 2} state {('drain', 'ready')[turn // 2 % 2]}",
             )
-            world.run(0.5, rate=20)
+            cluster.run(0.5, rate=20)
             self.assertLessEqual(
-                max(driver.unanswered_commands() for driver in world.managers["m0"].drivers), 70
+                max(driver.unanswered_commands() for driver in cluster.managers["m0"].drivers), 70
             )
-        world.run(8, rate=20)
-        for name in world.sites:
-            usable = world.usable_weights(name, "pay")
+        cluster.run(8, rate=20)
+        for name in cluster.sites:
+            usable = cluster.usable_weights(name, "pay")
             self.assertEqual({"s0", "s1"} & set(usable), set(), usable)
 
 
-class GuardStories(unittest.TestCase):
-    def world(self) -> FakeCluster:
-        world = FakeCluster(gateways=10, servers=8, cap=60)
-        world.run(14, rate=20)
-        return world
+class GuardTests(unittest.TestCase):
+    def make_cluster(self) -> FakeCluster:
+        cluster = FakeCluster(gateways=10, servers=8, cap=60)
+        cluster.run(14, rate=20)
+        return cluster
 
-    def carried(self, world: FakeCluster, server: str) -> list[float]:
-        """The server's part of each gateway's pool of `pay`."""
-        pools = [world.usable_weights(name, "pay") for name in world.sites]
+    def pool_shares(self, cluster: FakeCluster, server: str) -> list[float]:
+        """The server's share of each gateway's pool of `pay`."""
+        pools = [cluster.usable_weights(name, "pay") for name in cluster.sites]
         return [pool.get(server, 0) / sum(pool.values()) for pool in pools]
 
     def test_a_table_that_points_everything_at_one_collector_is_refused_with_its_reason(self) -> None:
-        world = self.world()
-        manager, before = world.managers["m0"], [world.usable_weights(name, "pay") for name in world.sites]
+        cluster = self.make_cluster()
+        manager, before = (
+            cluster.managers["m0"],
+            [cluster.usable_weights(name, "pay") for name in cluster.sites],
+        )
         self.assertEqual(ctl(manager, "prepare table"), "New version created: 1\n")
         for k in range(1, 8):
             ctl(manager, f"add table @1 pay/s{k} 0%")
         answer = ctl(manager, "commit table @1 only s0")
         self.assertTrue(answer.startswith("refused: Refused: "), answer)
         self.assertIn("would be accepted", answer)
-        world.run(3, rate=20)
-        self.assertEqual(before, [world.usable_weights(name, "pay") for name in world.sites])
+        cluster.run(3, rate=20)
+        self.assertEqual(before, [cluster.usable_weights(name, "pay") for name in cluster.sites])
         self.assertIn("operator:", ctl(manager, "show table refused"))
 
     def test_a_listed_size_that_would_draw_everything_is_refused_and_a_sound_one_is_not(self) -> None:
-        manager = self.world().managers["m0"]
+        manager = self.make_cluster().managers["m0"]
         self.assertIn("takes-over", ctl(manager, "set server fleet/s0 weight 1000"))
         self.assertEqual(manager.roster["s0"].size, 1.0)
         self.assertEqual(ctl(manager, "set server fleet/s0 weight 1.5"), "")
 
     def test_a_good_change_goes_out_in_waves_and_stands_and_can_be_rolled_back(self) -> None:
-        world = self.world()
-        manager = world.managers["m0"]
+        cluster = self.make_cluster()
+        manager = cluster.managers["m0"]
         self.assertEqual(ctl(manager, "set weight pay/s0 50%"), "Version 1 goes out in waves.\n")
         self.assertIn("still on its way", ctl(manager, "set weight pay/s2 50%"))
-        before = self.carried(world, "s0")
-        world.run(2.5, rate=20)
-        changed = [a < 0.8 * b for a, b in zip(self.carried(world, "s0"), before, strict=True) if b]
+        before = self.pool_shares(cluster, "s0")
+        cluster.run(2.5, rate=20)
+        changed = [a < 0.8 * b for a, b in zip(self.pool_shares(cluster, "s0"), before, strict=True) if b]
         self.assertEqual(sum(changed), 1)
-        world.run(60, rate=20)
+        cluster.run(60, rate=20)
         self.assertIn("stage=done", ctl(manager, "show wave"))
-        after = self.carried(world, "s0")
+        after = self.pool_shares(cluster, "s0")
         self.assertTrue(all(a < 0.8 * b for a, b in zip(after, before, strict=True) if b))
         self.assertIn("1 0", ctl(manager, "show table history"))
         self.assertEqual(
             ctl(manager, "show table diff 0 1"), "# pxname svname before after\npay s0 100% 50%\n"
         )
         ctl(manager, "rollback to 0")
-        world.run(60, rate=20)
-        self.assertTrue(all(abs(a - b) < 0.1 for a, b in zip(self.carried(world, "s0"), before, strict=True)))
+        cluster.run(60, rate=20)
+        self.assertTrue(
+            all(abs(a - b) < 0.1 for a, b in zip(self.pool_shares(cluster, "s0"), before, strict=True))
+        )
 
-    def test_a_change_that_shifts_txns_to_a_slow_collector_is_taken_back_from_its_first_wave(self) -> None:
-        world = self.world()
-        manager = world.managers["m0"]
-        world.service_time["s2"] = 1.4  # nobody has seen it yet: hardly a txn goes there
+    def test_a_change_that_shifts_txns_to_a_slow_collector_is_undone_in_its_first_wave(self) -> None:
+        cluster = self.make_cluster()
+        manager = cluster.managers["m0"]
+        cluster.service_time["s2"] = 1.4  # not observed yet: hardly a txn goes there
         self.assertEqual(ctl(manager, "set weight ask/s2 400%"), "Version 1 goes out in waves.\n")
-        world.run(30, rate=20)
+        cluster.run(30, rate=20)
         self.assertIn("stage=undone", ctl(manager, "show wave"))
         self.assertIn("taken_back", ctl(manager, "show table history"))
-        reached = {
+        reached_gateways = {
             name
-            for at, name, words, _ in world.sent
+            for at, name, words, _ in cluster.sent
             if words[:3] == ("set", "server", "ask/s2") and words[3] == "weight" and int(words[4]) > 230
         }
-        self.assertLessEqual(len(reached), 4)
+        self.assertLessEqual(len(reached_gateways), 4)
 
     def test_a_wave_whose_manager_is_lost_is_undone_by_its_successor(self) -> None:
-        world = FakeCluster(gateways=6, servers=8, cap=60, managers=2)
-        world.run(10, rate=20)
-        before = self.carried(world, "s0")
-        ctl(world.managers["m0"], "set weight pay/s0 30%")
-        world.run(2.5, rate=20)
-        self.assertTrue(any(a < 0.6 * b for a, b in zip(self.carried(world, "s0"), before, strict=True)))
-        world.kill("m0")
-        world.run(12, rate=20)
-        self.assertEqual({world.holder(name) for name in world.sites}, {"m1"})
-        self.assertTrue(all(a >= 0.6 * b for a, b in zip(self.carried(world, "s0"), before, strict=True)))
+        cluster = FakeCluster(gateways=6, servers=8, cap=60, managers=2)
+        cluster.run(10, rate=20)
+        before = self.pool_shares(cluster, "s0")
+        ctl(cluster.managers["m0"], "set weight pay/s0 30%")
+        cluster.run(2.5, rate=20)
+        self.assertTrue(
+            any(a < 0.6 * b for a, b in zip(self.pool_shares(cluster, "s0"), before, strict=True))
+        )
+        cluster.kill("m0")
+        cluster.run(12, rate=20)
+        self.assertEqual({cluster.holder(name) for name in cluster.sites}, {"m1"})
+        self.assertTrue(
+            all(a >= 0.6 * b for a, b in zip(self.pool_shares(cluster, "s0"), before, strict=True))
+        )
 
     def test_a_drain_never_waits_for_a_wave_nor_for_the_guard(self) -> None:
-        world = self.world()
-        manager = world.managers["m0"]
+        cluster = self.make_cluster()
+        manager = cluster.managers["m0"]
         ctl(manager, "set weight pay/s0 50%")
         ctl(manager, "set server fleet/s2 state drain")
-        world.run(2.2, rate=20)
-        self.assertFalse(any("s2" in world.usable_weights(name, "pay") for name in world.sites))
-
-    def test_the_modules_own_bad_order_is_a_fault_and_the_last_good_table_stays(self) -> None:
-        world = self.world()
-        manager, before = world.managers["m0"], world.usable_weights("g0", "pay")
-        number, table_ = next((n, t) for n, t in manager.core._tables.items() if t.sessions)
-        manager.core.set_weight(number, next(iter(table_.lines)), float("inf"))
+        cluster.run(2.2, rate=20)
+        self.assertFalse(any("s2" in cluster.usable_weights(name, "pay") for name in cluster.sites))
+
+    def test_an_invalid_table_of_the_core_is_an_error_and_the_last_good_table_stays(self) -> None:
+        cluster = self.make_cluster()
+        manager, before = cluster.managers["m0"], cluster.usable_weights("g0", "pay")
+        number, table = next((n, t) for n, t in manager.core._tables.items() if t.sessions)
+        manager.core.set_weight(number, next(iter(table.lines)), float("inf"))
         manager.handle_events()
-        world.run(1.5, rate=20)
+        cluster.run(1.5, rate=20)
         self.assertIn("own order for table", ctl(manager, "show errors"))
-        self.assertEqual(set(world.usable_weights("g0", "pay")), set(before))
+        self.assertEqual(set(cluster.usable_weights("g0", "pay")), set(before))
 
-    def test_bad_words_are_refused_by_name(self) -> None:
-        manager = self.world().managers["m0"]
+    def test_invalid_arguments_are_refused_with_a_reason(self) -> None:
+        manager = self.make_cluster().managers["m0"]
         for text, reason in (
             ("set weight pay/none 50%", "unknown"),
             ("set weight none/s0 50%", "unknown"),
@@ -425,15 +440,13 @@
             self.assertIn(reason, ctl(manager, text), text)
 
 
-class ApiStories(unittest.TestCase):
-    def test_the_api_shows_what_stands(self) -> None:
-        world = FakeCluster()
-        world.run(8, rate=20)
-        manager = world.managers["m0"]
-        facts = parse_fields(ctl(manager, "show info"))
-        self.assertEqual(
-            (facts["GatewaysHeld"], facts["Servers"], facts["CommandsUnanswered"]), ("2", "4", "0")
-        )
+class ApiTests(unittest.TestCase):
+    def test_the_api_shows_the_current_state(self) -> None:
+        cluster = FakeCluster()
+        cluster.run(8, rate=20)
+        manager = cluster.managers["m0"]
+        info = parse_fields(ctl(manager, "show info"))
+        self.assertEqual((info["GatewaysHeld"], info["Servers"], info["CommandsUnanswered"]), ("2", "4", "0"))
         rows = {(row["pxname"], row["svname"]): row for row in parse_table(ctl(manager, "show stat"))}
         self.assertEqual(rows["fleet", "s0"]["status"], "UP")
         self.assertAlmostEqual(float(rows["pay", "BACKEND"]["req_rate"]), 40, delta=8)
@@ -461,21 +474,22 @@
             self.assertIn(reason, ctl(manager, text), text)
         self.assertEqual(manager.roster.version, 4)
 
-    def test_the_list_survives_a_restart_and_half_of_it_is_not_believed(self) -> None:
-        world = FakeCluster()
-        manager = world.managers["m0"]
+    def test_the_list_survives_a_restart_and_a_truncated_list_is_rejected(self) -> None:
+        cluster = FakeCluster()
+        manager = cluster.managers["m0"]
         ctl(manager, "set server fleet/s1 state maint")
         ctl(manager, "set server fleet/s2 weight 2.5")
-        text = manager.roster.dump(int(world.clock.seconds() * 10_000))
-        world.kill("m0")
-        back = world.start_manager("m0", restored=text)
+        text = manager.roster.dump(int(cluster.clock.seconds() * 10_000))
+        cluster.kill("m0")
+        restarted = cluster.start_manager("m0", restored=text)
         self.assertEqual(
-            (back.restored, back.roster["s1"].availability.name, back.roster["s2"].size), (True, "GONE", 2.5)
+            (restarted.restored, restarted.roster["s1"].availability.name, restarted.roster["s2"].size),
+            (True, "GONE", 2.5),
         )
         for cut in (10, len(text) // 2, len(text) - 3):
-            world.kill("m0")
-            back = world.start_manager("m0", restored=text[:cut])
-            self.assertEqual((back.restored, len(back.roster.listed)), (False, 4))
+            cluster.kill("m0")
+            restarted = cluster.start_manager("m0", restored=text[:cut])
+            self.assertEqual((restarted.restored, len(restarted.roster.listed)), (False, 4))
 
 
 if __name__ == "__main__":
