--- a/rushladder/standins/load_generator.py
+++ b/rushladder/standins/load_generator.py
@@ -38,21 +38,21 @@
 
     def __init__(
         self,
-        asks: Sequence[RequestProfile],
+        profiles: Sequence[RequestProfile],
         gateways: Sequence[tuple[str, int]],
         rate: float,
         seed: int,
         reactor: Any,
         record: EventRecord,
     ) -> None:
-        self._asks, self._gateways, self._rate = list(asks), list(gateways), rate
+        self._profiles, self._gateways, self._rate = list(profiles), list(gateways), rate
         self._random, self._reactor, self._record = Random(seed), reactor, record
         pool = client.HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost = 64
         pool.retryAutomatically = False
         self._agent = client.Agent(reactor, connectTimeout=0.5, pool=pool)
         self.factors, self.heavy, self.patience = (
-            dict.fromkeys((ask.name for ask in asks), 1.0),
+            dict.fromkeys((profile.name for profile in profiles), 1.0),
             (0.0, 1.0),
             1.0,
         )
@@ -64,8 +64,8 @@
         self._schedule_next()
 
     def _schedule_next(self) -> None:
-        current_share = sum(ask.share * self.factors[ask.name] for ask in self._asks)
-        base_share = sum(ask.share for ask in self._asks)
+        current_share = sum(profile.share * self.factors[profile.name] for profile in self._profiles)
+        base_share = sum(profile.share for profile in self._profiles)
         self._reactor.callLater(
             self._random.expovariate(self._rate * current_share / base_share), self._arrive
         )
@@ -74,23 +74,25 @@
         if self.stopped:
             return
         self._schedule_next()
-        ask = self._random.choices(self._asks, [ask.share * self.factors[ask.name] for ask in self._asks])[0]
+        profile = self._random.choices(
+            self._profiles, [profile.share * self.factors[profile.name] for profile in self._profiles]
+        )[0]
         self._txn_count += 1
         heavy_share, work_multiple = self.heavy
         work = (
-            ask.work
+            profile.work
             * self._random.uniform(0.8, 1.2)
             * (work_multiple if self._random.random() < heavy_share else 1.0)
         )
-        Deferred.fromCoroutine(self._txn(ask, f"{ask.name}-{self._txn_count}", work))
+        Deferred.fromCoroutine(self._txn(profile, f"{profile.name}-{self._txn_count}", work))
 
-    async def _txn(self, ask: RequestProfile, txn_id: str, work: float) -> None:
+    async def _txn(self, profile: RequestProfile, txn_id: str, work: float) -> None:
         started = self._reactor.seconds()
-        deadline = started + ask.expiry * self.patience
-        self._record.log_event("ask", id=txn_id, product=ask.name)
+        deadline = started + profile.expiry * self.patience
+        self._record.log_event("ask", id=txn_id, product=profile.name)
         for attempt in range(2):
-            code = await self._attempt(ask, txn_id, work, deadline)
-            if code < 400 or attempt or not (ask.repeats or code == 429):
+            code = await self._attempt(profile, txn_id, work, deadline)
+            if code < 400 or attempt or not (profile.repeats or code == 429):
                 break
             backoff = self._random.uniform(0.06, 0.48)
             if self._reactor.seconds() + backoff >= deadline:
@@ -99,10 +101,14 @@
             self._reactor.callLater(backoff, delay.callback, None)
             await delay
         self._record.log_event(
-            "told", id=txn_id, product=ask.name, code=code, took=round(self._reactor.seconds() - started, 4)
+            "told",
+            id=txn_id,
+            product=profile.name,
+            code=code,
+            took=round(self._reactor.seconds() - started, 4),
         )
 
-    async def _attempt(self, ask: RequestProfile, txn_id: str, work: float, deadline: float) -> int:
+    async def _attempt(self, profile: RequestProfile, txn_id: str, work: float, deadline: float) -> int:
         now = self._reactor.seconds()
         live = [
             candidate
@@ -114,13 +120,11 @@
             gateway, port = next(
                 (candidate for candidate in live if candidate[0] == self.hot[0]), (gateway, port)
             )
-        time_left = deadline - now
-        url = (
-            f"http://127.0.0.1:{port}/{ask.name}/{txn_id}?work={1000 * work:.1f}&left={1000 * time_left:.1f}"
-        )
+        left = deadline - now
+        url = f"http://127.0.0.1:{port}/{profile.name}/{txn_id}?work={1000 * work:.1f}&left={1000 * left:.1f}"
         try:
             request: Deferred[Any] = self._agent.request(b"GET", url.encode())
-            response = await request.addTimeout(time_left, self._reactor)
+            response = await request.addTimeout(left, self._reactor)
             body: Deferred[Any] = client.readBody(response)
             await body.addTimeout(max(0.01, deadline - self._reactor.seconds()), self._reactor)
             self._dead_since.pop(gateway, None)
--- a/rushladder/standins/resolvers.py
+++ b/rushladder/standins/resolvers.py
@@ -132,7 +132,7 @@
 
     def __init__(
         self,
-        asks: Sequence[RequestProfile],
+        profiles: Sequence[RequestProfile],
         resolvers: Sequence[Resolver],
         zipf: float,
         rate: float,
@@ -140,7 +140,7 @@
         reactor: Any,
         record: EventRecord,
     ) -> None:
-        self._asks, self._resolvers, self._rate = list(asks), list(resolvers), rate
+        self._profiles, self._resolvers, self._rate = list(profiles), list(resolvers), rate
         self._shares = [1.0 / (k + 1) ** zipf for k in range(len(resolvers))]
         self._random, self._reactor, self._record = random, reactor, record
         pool = client.HTTPConnectionPool(reactor)
@@ -156,22 +156,22 @@
         if self.stopped:
             return
         self.start()
-        ask = self._random.choices(self._asks, [ask.share for ask in self._asks])[0]
+        profile = self._random.choices(self._profiles, [profile.share for profile in self._profiles])[0]
         resolver = self._random.choices(self._resolvers, self._shares)[0]
         self._txn_count += 1
-        work = ask.work * self._random.uniform(0.8, 1.2)
+        work = profile.work * self._random.uniform(0.8, 1.2)
         Deferred.fromCoroutine(
-            self._txn(ask, resolver, f"{resolver.name}-{ask.name}-{self._txn_count}", work)
+            self._txn(profile, resolver, f"{resolver.name}-{profile.name}-{self._txn_count}", work)
         )
 
-    async def _txn(self, ask: RequestProfile, resolver: Resolver, txn_id: str, work: float) -> None:
+    async def _txn(self, profile: RequestProfile, resolver: Resolver, txn_id: str, work: float) -> None:
         started = self._reactor.seconds()
-        deadline = started + ask.expiry
-        self._record.log_event("ask", id=txn_id, product=ask.name)
+        deadline = started + profile.expiry
+        self._record.log_event("ask", id=txn_id, product=profile.name)
         code, tried = 503, set[str]()
         # A client tries a second target only if the txn may be repeated and an untried target is left.
-        for attempt in range(2 if ask.repeats else 1):
-            answer = await resolver.resolve(ask.name)
+        for attempt in range(2 if profile.repeats else 1):
+            answer = await resolver.resolve(profile.name)
             untried = (
                 [target for target in answer.targets if target[0] not in tried] if answer is not None else []
             )
@@ -182,7 +182,7 @@
             self._record.log_event(
                 "try",
                 id=txn_id,
-                product=ask.name,
+                product=profile.name,
                 server=server,
                 number=attempt + 1,
                 resolver=resolver.name,
@@ -190,17 +190,17 @@
                 ignores=resolver.ignores,
                 region=resolver._region,
             )
-            code = await self._attempt(ask, txn_id, work, address, deadline)
+            code = await self._attempt(profile, txn_id, work, address, deadline)
             if code < 500:
                 break
         duration = round(self._reactor.seconds() - started, 4)
-        self._record.log_event("told", id=txn_id, product=ask.name, code=code, took=duration)
+        self._record.log_event("told", id=txn_id, product=profile.name, code=code, took=duration)
 
     async def _attempt(
-        self, ask: RequestProfile, txn_id: str, work: float, address: str, deadline: float
+        self, profile: RequestProfile, txn_id: str, work: float, address: str, deadline: float
     ) -> int:
         time_left = deadline - self._reactor.seconds()
-        url = f"http://{address}/{ask.name}/{txn_id}?work={1000 * work:.1f}&left={1000 * time_left:.1f}"
+        url = f"http://{address}/{profile.name}/{txn_id}?work={1000 * work:.1f}&left={1000 * time_left:.1f}"
         try:
             request: Deferred[Any] = self._agent.request(b"GET", url.encode())
             response = await request.addTimeout(time_left, self._reactor)
@@ -235,8 +235,8 @@
             0, resolver, interface=f"127.0.{2 + address_number // 250}.{1 + address_number % 250}"
         )
         resolvers.append(resolver)
-    asks = [RequestProfile(**ask) for ask in config["asks"]]
-    population = Population(asks, resolvers, config["zipf"], config["rate"], random, reactor, record)
+    profiles = [RequestProfile(**fields) for fields in config["asks"]]
+    population = Population(profiles, resolvers, config["zipf"], config["rate"], random, reactor, record)
 
     def stop(command: Command, level: Level) -> str:
         population.stopped = True
--- a/rushladder/trials/runner.py
+++ b/rushladder/trials/runner.py
@@ -206,7 +206,7 @@
             if day.memory == "wrong":
                 self._write_wrong_memory(manager)
             self._commands[manager.name] = [sys.executable, "-m", "rushladder", "run", config_file]
-        asks = [
+        profiles = [
             {
                 "name": product.name,
                 "share": product.share,
@@ -216,21 +216,21 @@
             }
             for product in day.products
         ]
-        self._prepare_resolvers(asks)
+        self._prepare_resolvers(profiles)
         if not day.gateways:
             return
         self._add_stand_in(
             "clients",
             {
                 "kind": "load",
-                "asks": asks,
+                "asks": profiles,
                 "rate": day.load,
                 "seed": day.seed,
                 "gateways": [[gateway.name, self._ports[gateway.name]] for gateway in day.gateways],
             },
         )
 
-    def _prepare_resolvers(self, asks: list[dict[str, object]]) -> None:
+    def _prepare_resolvers(self, profiles: list[dict[str, object]]) -> None:
         first_address = 0
         for population in self.day.resolvers:
             fronts = sorted(self.day.managers, key=lambda manager: manager.region != population.region)
@@ -238,7 +238,7 @@
                 population.name,
                 {
                     "kind": "resolvers",
-                    "asks": asks,
+                    "asks": profiles,
                     "many": population.count,
                     "zipf": population.zipf,
                     "rate": population.load,
