--- a/rushladder/service/logs.py
+++ b/rushladder/service/logs.py
@@ -1,4 +1,4 @@
-"""The log of a process: structured lines on standard error."""
+"""Sets up the structured log of a process on standard error."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from rushladder.conf.objects import LogSettings
 
 
-def make_log(form: LogSettings, **bound: Any) -> Any:
-    render = (
+def make_log(settings: LogSettings, **bound: Any) -> Any:
+    """Configures logging and returns a logger. bound: fields that are added to each line."""
+    renderer = (
         structlog.processors.JSONRenderer()
-        if form.format == "json"
+        if settings.format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            render,
+            renderer,
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, form.level.upper())),
+        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, settings.level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
     return structlog.get_logger().bind(**bound)
--- a/rushladder/standins/collector.py
+++ b/rushladder/standins/collector.py
@@ -20,11 +20,10 @@
 from twisted.web import resource, server
 
 from rushladder.intake.orca_pb2 import Envelope, OrcaLoadReport
-from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandRefused, CommandSpec, CommandTable, Level
 from rushladder.runtime.grammar import Command
 from rushladder.standins.record import EventRecord
 
-
 RATE_WINDOW = 2.0  # s over which a collector measures its txn rate: about twenty txns
 
 
--- a/rushladder/standins/gateway_state.py
+++ b/rushladder/standins/gateway_state.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rushladder.runtime.endpoint import Level, CommandRefused, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandRefused, CommandSpec, CommandTable, Level
 from rushladder.runtime.grammar import Command, format_csv
 
 MEAN_SAMPLES = 1024  # of the sliding mean, as in the guide
--- a/rushladder/standins/http_gateway.py
+++ b/rushladder/standins/http_gateway.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web import client, resource, server
 
-from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandSpec, CommandTable, Level, RuntimeFactory
 from rushladder.runtime.grammar import Command
 from rushladder.standins.gateway_state import GatewayState, Line
 from rushladder.standins.record import EventRecord
--- a/rushladder/standins/load_generator.py
+++ b/rushladder/standins/load_generator.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web import client
 
-from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandSpec, CommandTable, Level, RuntimeFactory
 from rushladder.runtime.grammar import Command
 from rushladder.standins.record import EventRecord
 
--- a/rushladder/standins/resolvers.py
+++ b/rushladder/standins/resolvers.py
@@ -17,7 +17,7 @@
 from twisted.names import dns
 from twisted.web import client
 
-from rushladder.runtime.endpoint import Level, RuntimeFactory, CommandSpec, CommandTable
+from rushladder.runtime.endpoint import CommandSpec, CommandTable, Level, RuntimeFactory
 from rushladder.runtime.grammar import Command
 from rushladder.standins.load_generator import RequestProfile
 from rushladder.standins.record import EventRecord
--- a/rushladder/trials/day.py
+++ b/rushladder/trials/day.py
@@ -21,15 +21,15 @@
     PER_MS,
     Diagnostic,
     InvalidConfig,
-    Line,
     InvalidValue,
+    Line,
     duration,
+    integer,
     name,
     number,
     one_of,
     percentage,
     read_lines,
-    integer,
 )
 
 PER_S = 1000 * PER_MS
--- a/rushladder/trials/soak.py
+++ b/rushladder/trials/soak.py
@@ -23,9 +23,9 @@
 from twisted.internet import defer, error, protocol, task
 
 from rushladder.standins.platform import (
+    ConfigMessage,
     Discovery,
     LineConnection,
-    ConfigMessage,
     ProbePort,
     Proxy,
     ProxyStream,
@@ -34,7 +34,7 @@
     configuration,
     entry,
 )
-from rushladder.trials.soak_judge import Violation, SoakJudge
+from rushladder.trials.soak_judge import SoakJudge, Violation
 
 ROOT = Path(__file__).parent.parent.parent
 KILL_AFTER = 0.7  # s after SIGTERM: the earliest time at which the platform sends SIGKILL
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -3,13 +3,12 @@
 import unittest
 from functools import cache
 
-from rushladder.runtime.endpoint import Level, CommandRefused
+from rushladder.runtime.endpoint import CommandRefused, Level
 from rushladder.runtime.grammar import Command, parse_fields, parse_table
 from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
 from tests.fake_cluster import FakeCluster, FakeTransport
 
-
 commands = cache(command_table)  # one command table per manager, as its listeners share it
 
 
