--- a/rushladder/trials/runner.py
+++ b/rushladder/trials/runner.py
@@ -339,7 +339,8 @@
     def _schedule_at(self, at: float, action: Callable[[], None]) -> None:
         self._scheduled.append((at, len(self._scheduled), action))
 
-    # Events. The methods named in _schedule_event return what begins and what ends an action.
+    # Event handlers. _schedule_event finds them by the event's target kind; each returns the callables that
+    # begin and end the action.
 
     def _schedule_event(self, event: Event) -> None:
         targets = event.targets or ("",)
@@ -361,11 +362,11 @@
             "hot": "hot",
         }[action]
         return (
-            lambda: self._clients(f"{verb} {' '.join(arguments)}"),
-            (lambda: self._clients(undo[action])) if action in undo else None,
+            lambda: self._send_to_clients(f"{verb} {' '.join(arguments)}"),
+            (lambda: self._send_to_clients(undo[action])) if action in undo else None,
         )
 
-    def _clients(self, text: str) -> None:
+    def _send_to_clients(self, text: str) -> None:
         self._send("clients.ctl", text)
         self._record.log_event("happens", what=text)
 
--- a/rushladder/trials/soak.py
+++ b/rushladder/trials/soak.py
@@ -40,7 +40,8 @@
 KILL_AFTER = 0.7  # s after SIGTERM: the earliest time at which the platform sends SIGKILL
 OLD_DISCOVERY_KEPT = 1.5  # s for which a previous address of discovery keeps its watches open
 CHECK_EVERY = 0.05  # s between two checks of the proxies' workers
-GRACE, BARE, CAP, SPAN = 3.0, 8.0, 12, 10.0  # s, s, messages, s
+# Drain grace (s), time without a worker (s), messages to a proxy within the span, and the span (s).
+GRACE, BARE, CAP, SPAN = 3.0, 8.0, 12, 10.0
 WORKERS, PROXIES, PROXIES_IN_STORM, UNIDENTIFIED_IN_STORM = 12, 16, 60, 300
 OTHER_DESCRIPTORS = 40  # log, poll, listeners, watches, and probes in flight
 MAX_MEMORY_MB = 100.0  # two and a half times the memory of a manager at its start
