--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -18,7 +18,7 @@
 
 from rushladder.store.files import Disk
 from rushladder.store.log import Log
-from rushladder.trials.crashes import explore, rot
+from rushladder.trials.crashes import explore_crash_points, flip_bits
 
 WRITER_CODE = """
 import sys
@@ -48,10 +48,10 @@
     """Prints how many crash points and kills were tried. Fails at the first wrong recovery."""
     points = openings = 0
     for seed in range(100, 100 + seeds):
-        explored = explore(turns, seed, every)
+        explored = explore_crash_points(turns, seed, every)
         points, openings = points + explored[0], openings + explored[1]
     print(f"{points} crash points, {openings} recoveries, none wrong")
-    flipped, detected = rot(turns, 7, 50 * seeds)
+    flipped, detected = flip_bits(turns, 7, 50 * seeds)
     print(f"{flipped} flipped bits, {detected} detected or in files that are not read, none accepted")
     with tempfile.TemporaryDirectory() as folder:
         torn, partial_snapshots = kill_writers(folder, kills)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from rushladder.standins.folder import Folder
+from rushladder.standins.folder import SimulatedFolder
 from rushladder.store.log import Log
 from rushladder.store.memory import DAY, MINORS, Kind
 from rushladder.store.store_pb2 import ServerMemory
@@ -27,7 +27,7 @@
 
 def write_wrong_memory(world: PersistentCluster) -> None:
     """Replaces m0's memory with one of a day ago, in which the slow server is fast and the others slow."""
-    folder, written_at = Folder(), int(1000 * world.wall()) - DAY
+    folder, written_at = SimulatedFolder(), int(1000 * world.wall()) - DAY
     log = Log(folder, world.fleet, "m0", MINORS, wall=lambda: written_at)
     log.open()
     for k in range(SERVERS):
@@ -49,7 +49,7 @@
         world.kill("m0")
         world.run(1, 20)
         if memory_state == "none":
-            world.folders["m0"] = Folder()
+            world.folders["m0"] = SimulatedFolder()
         elif memory_state != "kept":
             write_wrong_memory(world)
         # The gateways restart too and lose their tables, so that only the memory keeps what was learned.
--- a/benchmarks/skew.py
+++ b/benchmarks/skew.py
@@ -17,13 +17,13 @@
 from matplotlib import pyplot
 
 from rushladder.trials.day import read_day
-from rushladder.trials.judge import dns_error, load
+from rushladder.trials.judge import dns_error, load_records
 
 SERVERS_NAMED = (1, 2, 4)  # servers per answer; both splits of each run at the same time
 
 
 def measure_error(folder: Path) -> float:
-    rows = load(folder)
+    rows = load_records(folder)
     begins, ends = (
         next(row["t"] for row in rows if row["ev"] == "day" and row["what"] == event)
         for event in ("begins", "ends")
--- a/rushladder/cli/main.py
+++ b/rushladder/cli/main.py
@@ -124,7 +124,7 @@
     """Runs the day in FILE with real managers and stand-ins on loopback, and evaluates it. Exits with 1 if a
     rule was broken."""
     from rushladder.trials import day as days
-    from rushladder.trials import judge, play
+    from rushladder.trials import judge, runner
 
     if report:
         draw = load_chart_drawer()  # first, so that a missing package is reported before the day runs
@@ -140,13 +140,13 @@
     if memory is not None:
         day = attrs.evolve(day, memory=memory)
     verdicts = []
-    for steered in (True, False) if compare else (True,):
+    for managed in (True, False) if compare else (True,):
         with tempfile.TemporaryDirectory(prefix="rl") as directory:
             folder = Path(directory)
-            play.Trial(day, folder, steered).play()
-            rows = judge.load(folder)
+            runner.TrialRunner(day, folder, managed).run()
+            rows = judge.load_records(folder)
             verdicts.append(judge.judge(day, rows))
-            if keep and steered:
+            if keep and managed:
                 shutil.copytree(
                     folder, keep, dirs_exist_ok=True, ignore=shutil.ignore_patterns("*.sock", "*.ctl")
                 )
@@ -155,14 +155,14 @@
         f"{len(day.collectors)} collectors, {day.load:g} txns/s"
     )
     click.echo(verdicts[0].text())
-    for line in verdicts[0].steering():
+    for line in verdicts[0].weight_history():
         click.echo(line)
     if compare:
         click.echo(f"on standing tables: service {verdicts[1].service:.3f}")
     if report:
         for path in draw(day, verdicts[0], Path(report), verdicts[1] if compare else None):
             click.echo(str(path))
-    sys.exit(1 if verdicts[0].breaks else 0)
+    sys.exit(1 if verdicts[0].violations else 0)
 
 
 @main.command()
@@ -179,14 +179,14 @@
 
     Exits with 1 if a goal of the protocol was missed; the same seed repeats the run.
     """
-    from rushladder.trials.soak import run as play
+    from rushladder.trials.soak import run_soak
 
     if seeds < 1 or seconds < 4:
         click.echo("rushladder soak: --seeds has to be 1 or more, --seconds 4 or more", err=True)
         sys.exit(2)
-    broken = play(first, seeds, seconds, crowd, click.echo)
-    click.echo(f"{seeds} seeds, {broken} broke an aim")
-    sys.exit(1 if broken else 0)
+    failed = run_soak(first, seeds, seconds, crowd, click.echo)
+    click.echo(f"{seeds} seeds, {failed} broke an aim")
+    sys.exit(1 if failed else 0)
 
 
 @main.command()
--- a/rushladder/standins/folder.py
+++ b/rushladder/standins/folder.py
@@ -1,5 +1,8 @@
-"""A disk that loses power: what was not synced may be lost, torn, full of holes or flipped, and what was
-done to the folder may be there or not, each for itself, until the folder is synced."""
+"""An in-memory folder that simulates power cuts and disk faults.
+
+After a power cut, bytes that were not synced may be lost, truncated, zeroed in blocks or have flipped bits.
+Changes of folder entries that were not synced may each be lost or kept.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,14 @@
 
 
 class PowerCut(Exception):
-    """Power went; nothing after it happens."""
+    """The simulated power cut; no later operation takes place."""
 
 
 class Tail(Enum):
-    """What becomes of a file's bytes that were not synced."""
+    """What a power cut does to a file's unsynced bytes.
+
+    The member names seed the crash tests: a renamed member draws other crash points.
+    """
 
     LOST = "lost"
     WHOLE = "all there"
@@ -23,35 +29,39 @@
 
 
 class Entries(Enum):
-    """What becomes of changes of the folder that were not synced."""
+    """What a power cut does to unsynced changes of folder entries (links and unlinks)."""
 
     LOST = "lost"
     DONE = "all done"
     SOME = "some done, others not"
 
 
-BLOCK = 16  # bytes of a hole: far smaller than a sector, so that small records are hit too
+BLOCK = 16  # bytes of a zeroed block: far smaller than a sector, so that small records are hit too
 
 
 class _File:
+    """The current bytes of a file and those that were synced."""
+
     def __init__(self, data: bytes = b"") -> None:
         self.synced, self.data = data, data
 
 
-class Folder:
-    """In memory; as `store.files.Folder`. cut: the number of the change at which power goes (0: never).
-    full: bytes that it takes in all (0: any number)."""
+class SimulatedFolder:
+    """An in-memory implementation of `store.files.Folder`.
+
+    cut_at: number of the change at which power is cut (0: never). capacity: total bytes (0: unlimited).
+    """
 
-    def __init__(self, cut: int = 0, full: int = 0) -> None:
-        self._files, self._survive = dict[str, _File](), dict[str, _File]()
-        self._changes = list[tuple[str, str, _File | None]]()
-        self.changes, self.cut, self.full, self.read_only = 0, cut, full, False
+    def __init__(self, cut_at: int = 0, capacity: int = 0) -> None:
+        self._files, self._synced_files = dict[str, _File](), dict[str, _File]()
+        self._unsynced_changes = list[tuple[str, str, _File | None]]()
+        self.changes, self.cut_at, self.capacity, self.read_only = 0, cut_at, capacity, False
 
     def _change(self) -> None:
         if self.read_only:
             raise OSError(errno.EROFS, "read-only")
         self.changes += 1
-        if self.changes == self.cut:
+        if self.changes == self.cut_at:
             raise PowerCut
 
     def names(self) -> list[str]:
@@ -61,15 +71,19 @@
         return self._files[name].data
 
     def append(self, name: str, data: bytes) -> None:
-        room = self.full - sum(len(file.data) for file in self._files.values()) if self.full else len(data)
+        available = (
+            self.capacity - sum(len(file.data) for file in self._files.values())
+            if self.capacity
+            else len(data)
+        )
         file = self._files.get(name)
         if file is None:
             file = self._files[name] = _File()
-            self._changes.append(("link", name, file))
+            self._unsynced_changes.append(("link", name, file))
         before = file.data
-        file.data = before + data[: max(0, room)]
+        file.data = before + data[: max(0, available)]
         self._change()
-        if room < len(data):
+        if available < len(data):
             raise OSError(errno.ENOSPC, "no space")
 
     def sync(self, name: str) -> None:
@@ -77,58 +91,59 @@
         file = self._files[name]
         file.synced = file.data
 
-    def rename(self, name: str, other: str) -> None:
-        file = self._files[other] = self._files.pop(name)
-        self._changes += [("link", other, file), ("unlink", name, None)]
+    def rename(self, name: str, new_name: str) -> None:
+        file = self._files[new_name] = self._files.pop(name)
+        self._unsynced_changes += [("link", new_name, file), ("unlink", name, None)]
         self._change()
 
     def remove(self, name: str) -> None:
         del self._files[name]
-        self._changes.append(("unlink", name, None))
+        self._unsynced_changes.append(("unlink", name, None))
         self._change()
 
     def sync_folder(self) -> None:
         self._change()
-        self._survive = dict(self._files)
-        self._changes.clear()
+        self._synced_files = dict(self._files)
+        self._unsynced_changes.clear()
 
-    def after_power(self, tail: Tail, entries: Entries, random: Random) -> Folder:
-        """The folder as the next start finds it."""
-        names = dict(self._survive)
-        for what, name, file in self._changes:
+    def after_power_cut(self, tail: Tail, entries: Entries, random: Random) -> SimulatedFolder:
+        """The folder as the next start of the process finds it."""
+        names = dict(self._synced_files)
+        for action, name, file in self._unsynced_changes:
             if entries is Entries.DONE or (entries is Entries.SOME and random.random() < 0.5):
-                if what == "link" and file is not None:
+                if action == "link" and file is not None:
                     names[name] = file
                 else:
                     names.pop(name, None)
-        found = Folder()
+        folder = SimulatedFolder()
         for name, file in names.items():
-            found._files[name] = _File(file.synced + left(file.data[len(file.synced) :], tail, random))
-        found._survive = dict(found._files)
-        return found
+            folder._files[name] = _File(file.synced + after_loss(file.data[len(file.synced) :], tail, random))
+        folder._synced_files = dict(folder._files)
+        return folder
 
-    def rot(self, random: Random) -> str:
-        """Turns a bit of something that was synced long ago; returns the file's name."""
+    def flip_bit(self, random: Random) -> str:
+        """Flips one bit of a random file, in its synced bytes too; returns the file's name."""
         name = random.choice([name for name, file in self._files.items() if file.data])
         file = self._files[name]
-        file.data = file.synced = turned(file.data, random)
+        file.data = file.synced = with_flipped_bit(file.data, random)
         return name
 
 
-def turned(data: bytes, random: Random) -> bytes:
-    at = random.randrange(len(data))
-    return data[:at] + bytes([data[at] ^ (1 << random.randrange(8))]) + data[at + 1 :]
+def with_flipped_bit(data: bytes, random: Random) -> bytes:
+    """A copy of the data with one random bit flipped."""
+    offset = random.randrange(len(data))
+    return data[:offset] + bytes([data[offset] ^ (1 << random.randrange(8))]) + data[offset + 1 :]
 
 
-def left(data: bytes, tail: Tail, random: Random) -> bytes:
-    """What is left of bytes that were not synced."""
+def after_loss(data: bytes, tail: Tail, random: Random) -> bytes:
+    """What remains of unsynced bytes after a power cut."""
     if not data or tail is Tail.LOST:
         return b""
     if tail is Tail.TORN:
         return data[: random.randrange(len(data) + 1)]
     if tail is Tail.FLIPPED:
-        return turned(data, random)
+        return with_flipped_bit(data, random)
     if tail is Tail.HOLES:
-        blocks = [data[at : at + BLOCK] for at in range(0, len(data), BLOCK)]
+        blocks = [data[offset : offset + BLOCK] for offset in range(0, len(data), BLOCK)]
         return b"".join(bytes(len(block)) if random.random() < 0.5 else block for block in blocks)
     return data
--- a/rushladder/standins/record.py
+++ b/rushladder/standins/record.py
@@ -1,5 +1,5 @@
-"""What stand-ins write down: one JSON object a line, with the machine's monotonic clock, whole at each
-line."""
+"""The event records that stand-ins write: one JSON object per line, stamped with the monotonic clock and
+flushed after each line."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from typing import Any
 
 
-class Record:
-    """Appends to a file; a process that is killed loses at most the line it was writing."""
+class EventRecord:
+    """Appends events to a file; a process that is killed loses at most the line that it was writing."""
 
     def __init__(self, path: str, who: str) -> None:
-        self._file, self._who = open(path, "a", buffering=1), who  # noqa: SIM115 - open as long as it lives
+        self._file, self._who = open(path, "a", buffering=1), who  # noqa: SIM115 - stays open as long as the process runs
 
-    def note(self, event: str, **more: Any) -> None:
-        row = {"t": round(time.monotonic(), 4), "who": self._who, "ev": event, **more}
+    def log_event(self, event: str, **fields: Any) -> None:
+        row = {"t": round(time.monotonic(), 4), "who": self._who, "ev": event, **fields}
         self._file.write(json.dumps(row, separators=(",", ":")) + "\n")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from rushladder.standins.platform import HEAD, chunk, configuration, entry, listing
+from rushladder.standins.platform import RESPONSE_HEAD, chunk, configuration, entry, listing
 
 ROOT = Path(__file__).parent.parent
 TIMEOUT_SECONDS = 20.0  # for any step, on a busy machine
@@ -207,7 +207,7 @@
         manager = self.manager(*workers, **fields).start_and_wait()
         watch = self.discovery.accept()
         self.assertEqual(watch.watch_index(), "41")
-        watch.send(HEAD)
+        watch.send(RESPONSE_HEAD)
         proxy = manager.connect().join(3)
         proxy.until("rows=")
         return manager, watch, proxy
@@ -337,7 +337,7 @@
         last = third.accept()
         self.assertEqual(last.watch_index(), "41")
         self.assertTrue(middle.ended())
-        last.send(HEAD)
+        last.send(RESPONSE_HEAD)
         self.assertTrue(watch.ended())
         last.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
@@ -361,7 +361,7 @@
         watch.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
         watch.sock.close()  # as the platform does 1.5 s after the move; the new watch stays
-        new.send(HEAD)
+        new.send(RESPONSE_HEAD)
         new.chunk(listing(42, entry("s-2", state="draining")) + listing(43, entry("s-1", state="draining")))
         proxy.until("drop=s-1")
 
@@ -375,7 +375,7 @@
 class WatchTests(RaceTestCase):
     def test_silence_at_any_point_reconnects(self) -> None:
         whole = listing(42, *map(entry, ("s-0", "s-1", "s-2", "s-3")), full=True)
-        heads = (b"", b"HTTP/1.1 200 OK\r\nTransfer-", HEAD + b'40\r\n{"version', None)
+        heads = (b"", b"HTTP/1.1 200 OK\r\nTransfer-", RESPONSE_HEAD + b'40\r\n{"version', None)
         expected = []
         for head in heads:  # all at once, as each takes the 3 s of the silence timeout
             self.discovery = ManualListener(self)
@@ -383,7 +383,7 @@
             watch = self.discovery.accept()
             watch.watch_index()
             if head is None:
-                watch.send(HEAD)
+                watch.send(RESPONSE_HEAD)
                 watch.chunk(whole)
             else:
                 watch.send(head)
@@ -407,7 +407,7 @@
         proxy.until("drop=s-3")
         again = self.discovery.accept()
         self.assertEqual(again.watch_index(), "0")
-        again.send(HEAD)
+        again.send(RESPONSE_HEAD)
         again.chunk(listing(43, entry("s-0"), entry("s-1"), entry("s-2", state="draining"), full=True))
         proxy.until("drop=s-2")
 
@@ -418,7 +418,7 @@
         watch.sock.close()
         again = self.discovery.accept()
         self.assertEqual(again.watch_index(), "41")
-        again.send(HEAD)
+        again.send(RESPONSE_HEAD)
         again.chunk(change)
         proxy.until("drop=s-2")
 
@@ -652,7 +652,7 @@
         if not self.discovery.no_connection(1.0):
             again = self.discovery.accept()
             if again.watch_index() == "41":
-                again.send(HEAD)
+                again.send(RESPONSE_HEAD)
                 again.chunk(listing(42, entry("s-2", state="draining")))
         proxy.until("drop=s-2")
         self.assertGreater(time.monotonic() - started, 3)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 from rushladder.service.api import command_table
 from rushladder.service.manager import Manager
 from rushladder.service.persistence import Persistence
-from rushladder.standins.folder import Entries, Folder, Tail
+from rushladder.standins.folder import Entries, SimulatedFolder, Tail
 from rushladder.store.commands import Effect, Journal
 from rushladder.store.log import Log
 from rushladder.store.memory import (
@@ -163,7 +163,7 @@
     """A cluster whose managers store their state on a simulated disk that can lose power."""
 
     def __init__(self, **extra: Any) -> None:
-        self.folders, self.wall_ahead, self.fleet = dict[str, Folder](), 1.7e9, "fleet"
+        self.folders, self.wall_ahead, self.fleet = dict[str, SimulatedFolder](), 1.7e9, "fleet"
         super().__init__(**extra)
 
     def wall(self) -> float:
@@ -171,7 +171,7 @@
 
     def start_manager(self, name: str, restored: str = "") -> Manager:
         self.logs[name] = RecordingLog()
-        folder = self.folders.setdefault(name, Folder())
+        folder = self.folders.setdefault(name, SimulatedFolder())
         log = Log(folder, self.fleet, name, MINORS, wall=lambda: int(1000 * self.wall()))
         log.open()
         writer = Writer(log, self.clock, run_immediately, lambda reason: None)
@@ -192,7 +192,7 @@
     def power_cut(self, name: str, away: float = 1.0) -> Manager:
         """Kills a manager, drops all writes that were not synced, and starts it `away` seconds later."""
         self.kill(name)
-        folder = self.folders[name].after_power(Tail.TORN, Entries.SOME, Random(1))
+        folder = self.folders[name].after_power_cut(Tail.TORN, Entries.SOME, Random(1))
         self.folders[name] = folder
         self.run(away, 10)
         return self.start_manager(name)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,12 +18,12 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.task import Clock
 
-from rushladder.standins.folder import Entries, Folder, Tail
+from rushladder.standins.folder import Entries, SimulatedFolder, Tail
 from rushladder.store.files import Disk, FolderLocked
 from rushladder.store.frames import BODY_HEADER, FRAME_HEADER, Damage, Record, decode_frames, encode_frame
 from rushladder.store.log import MAX_SET_ASIDE, IncompatibleStore, Log, Migrations, file_number
 from rushladder.store.writer import BATCH_DELAY, MIN_RETRY_DELAY, Writer
-from rushladder.trials.crashes import explore, new_log, rot, run
+from rushladder.trials.crashes import explore_crash_points, flip_bits, new_log, run_until_power_cut
 
 RECORDS = st.builds(
     Record,
@@ -65,29 +65,29 @@
     def test_after_a_crash_at_any_point_the_acknowledged_state_is_there_and_nothing_unwritten(self) -> None:
         tried = opened = 0
         for seed in (1, 2):
-            counts = explore(30, seed)
+            counts = explore_crash_points(30, seed)
             tried, opened = tried + counts[0], opened + counts[1]
         self.assertGreater(tried, 2000)
         self.assertGreater(opened, 3 * tried)
 
     def test_a_bit_that_flips_later_is_detected_and_never_trusted(self) -> None:
-        self.assertEqual(rot(25, 3, 200), (200, 200))
+        self.assertEqual(flip_bits(25, 3, 200), (200, 200))
 
     def test_instead_of_a_truncated_snapshot_the_previous_one_is_used(self) -> None:
-        folder = Folder()
-        acknowledged = run(folder, 40, 5)
+        folder = SimulatedFolder()
+        expected = run_until_power_cut(folder, 40, 5)
         snapshot = max(name for name in folder.names() if name.startswith("snap-"))
         data = folder.read(snapshot)
         for lost in (1, FRAME_HEADER.size + BODY_HEADER.size + 2, len(data) // 2, len(data)):
-            other = folder.after_power(Tail.WHOLE, Entries.DONE, Random(1))
+            other = folder.after_power_cut(Tail.WHOLE, Entries.DONE, Random(1))
             other._files[snapshot].data = other._files[snapshot].synced = data[: len(data) - lost]
             log = new_log(other)
             opened = log.open()
-            self.assertEqual(log.state, acknowledged.sure)
+            self.assertEqual(log.state, expected.acknowledged)
             self.assertNotEqual(opened.snapshot, snapshot)
 
     def test_intact_records_behind_a_corrupt_one_are_kept_and_the_file_is_set_aside(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         log = new_log(folder)
         log.open()
         for k in range(3):
@@ -103,7 +103,7 @@
         self.assertTrue(next(file for file in folder.names() if file.startswith("aside-")).endswith(name))
 
     def test_the_size_of_the_store_and_the_number_of_files_set_aside_are_bounded(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         for _ in range(MAX_SET_ASIDE + 5):
             log = new_log(folder)
             log.open()
@@ -118,8 +118,8 @@
         self.assertEqual(len([name for name in folder.names() if name.startswith("aside-")]), MAX_SET_ASIDE)
 
     def test_a_folder_of_another_fleet_or_manager_is_rejected_and_left_unchanged(self) -> None:
-        folder = Folder()
-        run(folder, 5, 1)
+        folder = SimulatedFolder()
+        run_until_power_cut(folder, 5, 1)
         before = {name: folder.read(name) for name in folder.names()}
         for fleet, manager in (("other", "m1"), ("fleet", "m2")):
             with self.assertRaises(IncompatibleStore):
@@ -127,7 +127,7 @@
         self.assertEqual({name: folder.read(name) for name in folder.names()}, before)
 
     def test_records_of_newer_minor_versions_are_skipped_and_older_ones_migrated(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         log = Log(folder, "fleet", "m1", {1: 2, 2: 0})
         log.open()
         log.put(1, "new", b"v2")
@@ -139,27 +139,27 @@
         self.assertEqual(reopened.state, {(2, "old"): b"v0+1+2"})
 
     def test_no_pending_change_is_lost_on_a_full_or_read_only_disk(self) -> None:
-        folder = Folder()
+        folder = SimulatedFolder()
         log = new_log(folder)
         log.open()
         log.put(1, "a", b"1")
-        folder.full = sum(len(folder.read(name)) for name in folder.names()) + 10
+        folder.capacity = sum(len(folder.read(name)) for name in folder.names()) + 10
         with self.assertRaises(OSError):
             log.commit()
-        folder.full, folder.read_only = 0, True
+        folder.capacity, folder.read_only = 0, True
         with self.assertRaises(OSError):
             log.commit()
         folder.read_only = False
         log.put(1, "b", b"2")
         self.assertEqual(log.commit(), 2)
-        reopened = new_log(folder.after_power(Tail.LOST, Entries.LOST, Random(1)))
+        reopened = new_log(folder.after_power_cut(Tail.LOST, Entries.LOST, Random(1)))
         reopened.open()
         self.assertEqual(reopened.state, {(1, "a"): b"1", (1, "b"): b"2"})
 
 
 class WriterTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.folder, self.errors = Clock(), Folder(), list[str]()
+        self.clock, self.folder, self.errors = Clock(), SimulatedFolder(), list[str]()
         self.log = new_log(self.folder)
         self.log.open()
         self.slow_writes = list[Callable[[], None]]()
