--- a/rushladder/trials/judge.py
+++ b/rushladder/trials/judge.py
@@ -49,10 +49,10 @@
         lines = []
         titles = {
             1: "no gateway without a collector",
-            2: "no once-only effect repeated",
-            3: "drains respected",
-            4: "no cold collector overloaded",
-            5: "channel and message limits kept",
+            2: "no effect twice",
+            3: "drains kept",
+            4: "no cold collector pushed over",
+            5: "channel and message cap kept",
         }
         for rule, title in titles.items():
             found = [violation for violation in self.violations if violation.rule == rule]
@@ -64,7 +64,7 @@
             f"{self.messages} messages to gateways"
         )
         if self.dns_error:
-            lines.append(f"load of DNS clients deviates from the weights by {self.dns_error:.1%}")
+            lines.append(f"load of DNS clients off its weights by {self.dns_error:.1%}")
         return "\n".join(lines)
 
     def weight_history(self) -> list[str]:
--- a/rushladder/trials/soak.py
+++ b/rushladder/trials/soak.py
@@ -1,4 +1,4 @@
-"""A soak test of the manager on loopback, started as in production.
+"""A soak test of the manager on loopback, started by the `run` command of deploy/balancer.toml.
 
 A seed determines the workers that come and go, faults of discovery and of streams, sequences of signals,
 unidentified clients and reconnect storms; `soak_judge` checks what crossed the sockets. It runs in real time
@@ -115,7 +115,7 @@
         state = "crowd" if self.storm else "plain"
         head = (
             f"seed {self.seed} ({state}): {self.starts} starts, ready within {self.slowest_start:.1f} s, "
-            f"{self.messages} messages, {len(self.violations)} violations"
+            f"{self.messages} messages, {len(self.violations)} breaks"
         )
         return "\n".join([head, *(violation.text(self.seed) for violation in self.violations[:5])])
 
@@ -253,9 +253,8 @@
 
     def _restart_during_start(self, sequence: str) -> None:
         self._signal(signal.SIGKILL)
-        self._later(
-            0.15, self._run_signal_sequence, sequence
-        )  # the new process is in the middle of its imports
+        # After 0.15 s the new process is in the middle of its imports.
+        self._later(0.15, self._run_signal_sequence, sequence)
 
     def _move_discovery(self) -> None:
         """Moves discovery to another address."""
@@ -355,9 +354,8 @@
         factory = protocol.ClientFactory()
         factory.noisy = False
         factory.buildProtocol = lambda addr: client  # type: ignore[method-assign]
-        factory.clientConnectionFailed = (  # type: ignore[method-assign]
-            lambda *why: answered(0.0)
-        )  # the manager doesn't listen, so it need not answer
+        # If the manager doesn't listen, it need not answer.
+        factory.clientConnectionFailed = lambda *why: answered(0.0)  # type: ignore[method-assign]
         self._reactor.connectTCP("127.0.0.1", self._port, factory, timeout=3)
 
     def _reconnect_storm(self) -> None:
