--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -150,7 +150,7 @@
 
 
 def start_listener(manager: Manager, tcp: bool, plain: bool) -> int:
-    """Listens for reports by TCP, in this process or in a receiver process. Returns the port."""
+    """Listens for reports by TCP, or by UDP in this process or in a receiver process. Returns the port."""
     if tcp:
         streams = reactor.listenTCP(
             0, ReportStreams(manager.report_processor, reactor), interface="127.0.0.1"
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,5 +1,6 @@
 """CPU time of one manager on the platform by the number of its streams: when all proxies join at once, during
-ticks with load reports, in a release that replaces a tenth of the workers, and in a reconnect storm.
+ten seconds of ticks with load reports, in a release that replaces a tenth of the workers, and in a reconnect
+storm.
 
     python -m benchmarks.streams [--streams 150,400,1600] [--workers 200]
 
@@ -40,7 +41,10 @@
 
 
 class NullStream:
-    """A stream that accepts and discards all messages. `Simulation.wait` acknowledges its marks."""
+    """A stream that accepts and discards all messages.
+
+    `Simulation.wait` acknowledges its marks as delivered after a second.
+    """
 
     def send(self, message: bytes) -> None:
         pass
--- a/rushladder/trials/soak_judge.py
+++ b/rushladder/trials/soak_judge.py
@@ -50,10 +50,8 @@
 
     def __init__(self, grace: float, bare: float, cap: int, span: float) -> None:
         self._grace, self._bare, self._cap, self._span = grace, bare, cap, span
-        self.violations, self.lateness = (
-            list[Violation](),
-            0.0,
-        )  # lateness: of the soak process itself, added to time limits
+        # lateness: the longest delay of the soak's own checks, in seconds; it is added to time limits.
+        self.violations, self.lateness = list[Violation](), 0.0
         self._listed, self._left_at, self._ready_workers = set[str](), dict[str, float](), set[str]()
         self._streams, self._empty_since = dict[int, _StreamState](), dict[int, float]()
         self._serving_since, self._reported = 0.0, set[tuple[int, str]]()
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -296,7 +296,7 @@
             ]
             self.assertLessEqual(max(sum(at <= other < at + 10 for other in wrote) for at in wrote), 8)
 
-    def test_a_slow_gateway_gets_one_message_at_a_time_and_misses_none(self) -> None:
+    def test_a_slow_gateway_gets_one_message_at_a_time_and_catches_up(self) -> None:
         cluster = FakeCluster(cap=60)
         cluster.run(6, rate=20)
         for transport in cluster.wires.values():
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -60,7 +60,7 @@
             *rows,
             record(21, "trial", "day", what="ends"),
         ]
-        verdict = judge(self.day(), sorted(records, key=lambda violation: float(violation["t"])))
+        verdict = judge(self.day(), sorted(records, key=lambda entry: float(entry["t"])))
         return [(violation.rule, violation.where) for violation in verdict.violations]
 
     def day(self) -> Day:
